--- /dev/null
+++ b/tests/compatibility_test.cpp
@@ -0,0 +1,276 @@
+// Bytes that must not change: datagrams between instances, the simulator's wire, and data kept on disk, each
+// as version 1b4e476 wrote them. The files under tests/data/ were written by that version; see its README.
+#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include <doctest/doctest.h>
+
+#include "base/store/store.h"
+#include "decide/repute/repute.h"
+#include "fleet/ledger.h"
+#include "fleet/record.h"
+#include "fleet/registers.h"
+#include "follow/names/snapshot.h"
+#include "guard/report.h"
+
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+#include <sys/wait.h>
+#include <unistd.h>
+
+using namespace myrtlehead;
+
+namespace {
+
+using Bytes = std::vector<std::uint8_t>;
+
+std::string bytesOf(const std::filesystem::path &path) {
+  std::ifstream in(path, std::ios::binary);
+  REQUIRE(in.good());
+  std::ostringstream text;
+  text << in.rdbuf();
+  return text.str();
+}
+
+std::filesystem::path data(const std::string &name) {
+  return std::filesystem::path(MYRTLEHEAD_TEST_DATA) / name;
+}
+
+struct TemporaryFolder {
+  TemporaryFolder() { std::filesystem::create_directories(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
+  std::filesystem::path path = std::filesystem::temp_directory_path() /
+                               ("myrtlehead-compatibility-" + std::to_string(getpid()));
+};
+
+// The bytes of a file of hexadecimal digits; white space is passed over.
+std::string fromHex(const std::string &text) {
+  std::string out, digits;
+  for (const char c : text) {
+    if (std::isxdigit(static_cast<unsigned char>(c)) == 0) continue;
+    digits += c;
+    if (digits.size() < 2) continue;
+    out += static_cast<char>(std::stoi(digits, nullptr, 16));
+    digits.clear();
+  }
+  return out;
+}
+
+// Reads big-endian fields of the adapter's replies.
+class Fields {
+public:
+  explicit Fields(std::string_view bytes) : bytes_(bytes) {}
+  std::string_view take(std::size_t n) {
+    REQUIRE(n <= bytes_.size());
+    const auto out = bytes_.substr(0, n);
+    bytes_.remove_prefix(n);
+    return out;
+  }
+  bool empty() const { return bytes_.empty(); }
+
+private:
+  std::string_view bytes_;
+};
+
+std::size_t numberOf(std::string_view bytes) {
+  std::size_t out = 0;
+  for (const char c : bytes) out = out << 8 | static_cast<unsigned char>(c);
+  return out;
+}
+
+// The bytes of a record's fields, by its code; where texts or bytes follow, of all before them.
+std::size_t sizeOf(unsigned code) {
+  switch (code) {
+  case 17: // a vote
+  case 23: // whose records follow
+    return 4;
+  case 20: // an attempt
+    return 18;
+  case 25: // a message to peers
+    return 6;
+  case 21: // a log line
+    return 2;
+  case 26: // a request that is shed
+  case 27: // a timer
+    return 12;
+  case 28: // a watch
+    return 1;
+  case 29: // a request that is failed
+    return 8;
+  default:
+    FAIL("an unexpected record " << code);
+    return 0;
+  }
+}
+
+// All replies with their log lines emptied: how often a line is written is pinned, its words are not.
+std::string withoutLogTexts(std::string_view replies) {
+  constexpr unsigned kMessage = 25, kLogLine = 21;
+  std::string out;
+  Fields all(replies);
+  while (!all.empty()) {
+    const auto records = all.take(4);
+    Fields reply(all.take(numberOf(all.take(4))));
+    out += records;
+    out += reply.take(4); // the batch that is answered
+    while (!reply.empty()) {
+      const auto code = reply.take(1);
+      const auto fields = reply.take(sizeOf(static_cast<unsigned char>(code[0])));
+      out += code;
+      if (static_cast<unsigned char>(code[0]) == kLogLine) {
+        reply.take(numberOf(fields));
+        continue;
+      }
+      out += fields;
+      if (static_cast<unsigned char>(code[0]) == kMessage) out += reply.take(numberOf(fields.substr(4)));
+    }
+  }
+  return out;
+}
+
+// A member's register as its ledger keeps it, and the record in it.
+const std::string kRecordText =
+    R"({"due":1700000060000000000,"first_begun":1700000001000000000,"form":1,"holder":2,)"
+    R"("id":"67eb5d85ff9a8b1d","importance":7,"key":"0a1b","kind":1,"life":1699999999,"mark":"nightly-1",)"
+    R"("not_before":1700000002000000000,"reason":"broken","route":"write","starts":1,"state":2,)"
+    R"("submitted":1700000000000000000,"submitter":"billing","until":1700000005000000000,"value":"c0ffee",)"
+    R"("window":5000000000})";
+
+class SilentLinks final : public fleet::Links {
+public:
+  net::Task<net::Result<fleet::Answered>> ask(std::uint32_t, std::string, std::string, net::Until) override {
+    co_return net::Failure{net::Cause::timedOut, net::Reach::unconnected};
+  }
+};
+
+class MemoryLedger final : public fleet::Ledger {
+public:
+  sched::Task<std::string> keep(std::string) override { co_return ""; }
+};
+
+} // namespace
+
+TEST_CASE("a report datagram has 16 bytes: version 3, channel, build, life, worst, total, outcomes") {
+  const Report report{3, 307, 0xbeef, 0x1234, -1.2345, 4909};
+  const Bytes bytes{0x03, 0x03, 0x01, 0x33, 0xbe, 0xef, 0x12, 0x34,
+                    0xff, 0xff, 0xcf, 0xc7, 0x00, 0x00, 0x13, 0x2d};
+  CHECK(pack(report) == bytes);
+  const auto read = unpack(bytes.data(), bytes.size());
+  REQUIRE(read);
+  CHECK(read->channel == 3);
+  CHECK(read->build == 307);
+  CHECK(read->life == 0xbeef);
+  CHECK(read->worst == 0x1234);
+  CHECK(read->total == -1.2345);
+  CHECK(read->outcomes == 4909);
+}
+
+TEST_CASE("a stance datagram has 5 bytes: version 4, verdict, build, stage") {
+  const Vote stance{Verdict::back, 307, 2};
+  const Bytes bytes{0x04, 0x03, 0x01, 0x33, 0x02};
+  CHECK(packStance(stance) == bytes);
+  CHECK(unpackStance(bytes.data(), bytes.size()) == stance);
+  CHECK(packStance({Verdict::on, 1, 0}) == Bytes{0x04, 0x01, 0x00, 0x01, 0x00});
+  CHECK(packStance({Verdict::hold, 1, 0}) == Bytes{0x04, 0x02, 0x00, 0x01, 0x00});
+  CHECK(packStance({Verdict::withdraw, 1, 0}) == Bytes{0x04, 0x00, 0x00, 0x01, 0x00});
+}
+
+TEST_CASE("a datagram on failing nodes has version 5, the zone, and 5 bytes a node") {
+  const repute::Telling telling{0x0102, {{0xabcd, 1, 2, 3}, {0x0001, 255, 0, 9}}};
+  const Bytes bytes{0x05, 0x01, 0x02, 0xab, 0xcd, 0x01, 0x02, 0x03, 0x00, 0x01, 0xff, 0x00, 0x09};
+  CHECK(repute::pack(telling) == bytes);
+  const auto read = repute::unpack(bytes.data(), bytes.size());
+  REQUIRE(read);
+  REQUIRE(read->nodes.size() == 2);
+  CHECK(read->zone == 0x0102);
+  CHECK(read->nodes[0].node == 0xabcd);
+  CHECK(read->nodes[1].failed == 255);
+}
+
+TEST_CASE("the simulator's adapter answers recorded batches with the same bytes, log texts apart") {
+  const TemporaryFolder folder;
+  const auto in = folder.path / "batches", out = folder.path / "replies";
+  std::ofstream(in, std::ios::binary) << fromHex(bytesOf(data("simulator-batches.hex")));
+  const auto command = std::string(MYRTLEHEAD_ADAPTER) + " < " + in.string() + " > " + out.string();
+  REQUIRE(std::system(command.c_str()) == 0);
+  const bool same = withoutLogTexts(bytesOf(out)) ==
+                    withoutLogTexts(fromHex(bytesOf(data("simulator-replies.hex"))));
+  CHECK(same); // the bytes themselves say nothing to a reader
+}
+
+TEST_CASE("a job's record keeps its form") {
+  const auto record = fleet::readRecord(kRecordText);
+  REQUIRE(record);
+  CHECK(fleet::text(*record) == kRecordText);
+  CHECK(record->job.kind == Repeat::deduped);
+  CHECK(record->job.state == custody::State::begun);
+  CHECK(record->job.window == 5 * kSec);
+  CHECK(record->work.key == "0a1b");
+  CHECK(fleet::told(*record) ==
+        R"({"holder":2,"id":"67eb5d85ff9a8b1d","kind":"deduped","mark":"nightly-1","reason":"broken",)"
+        R"("route":"write","starts":1,"state":"begun","submitter":"billing"})");
+  CHECK(fleet::statementOf(*record, 480 * kMs) ==
+        "INSERT INTO records (k, v) VALUES ('0a1b', '\\xc0ffee') RETURNING v "
+        "/* id=35a6bbc1ee1f1882,c=write,d=480,k=67eb5d85ff9a8b1d */");
+}
+
+TEST_CASE("a submission is identified by its submitter and its mark") {
+  const fleet::Routes routes{{"read", "write"}, {Repeat::retriable, Repeat::deduped}};
+  const auto read = fleet::readSubmission(
+      R"({"mark":"nightly-1","submitter":"billing","route":"write","key":"0a1b","value":"c0ffee"})", routes,
+      1'700'000'000 * kSec);
+  REQUIRE(std::holds_alternative<fleet::Record>(read));
+  CHECK(fleet::keyOf(std::get<fleet::Record>(read).job.id) == "job/24dcdfc87b236661");
+}
+
+TEST_CASE("members ask and answer for registers in the same JSON") {
+  sched::Scheduler sched(sched::Clock::own);
+  SilentLinks links;
+  MemoryLedger ledger;
+  fleet::Registers registers(sched, links, ledger, 0, 3, 7);
+  std::string promised, accepted;
+  const auto body = [&]() -> sched::Task<> {
+    promised = (co_await registers.promise(R"({"ballot":[4,1700000000,2],"key":"job/1","value":""})")).body;
+    accepted = (co_await registers.accept(R"({"ballot":[4,1700000000,2],"key":"job/1","value":"v"})")).body;
+  };
+  sched.spawn(body());
+  sched.run();
+  CHECK(promised == R"({"accepted":[0,0,0],"granted":true,"seen":[4,1700000000,2],"value":""})");
+  CHECK(accepted == R"({"accepted":[4,1700000000,2],"granted":true,"seen":[4,1700000000,2],"value":""})");
+  const custody::Held held{{4, 1700000000, 2}, {4, 1700000000, 2}, "v"};
+  CHECK(ledger.held("job/1") == held);
+}
+
+TEST_CASE("a ledger that the earlier version wrote is read") {
+  const TemporaryFolder folder;
+  std::filesystem::copy_file(data("ledger-1b4e476.db"), folder.path / "ledger.db");
+  sched::Scheduler sched(sched::Clock::own);
+  const fleet::SqliteLedger ledger(sched, folder.path.string(), "m0", 1'700'000'000);
+  CHECK(ledger.refusal == "");
+  REQUIRE(ledger.all().size() == 2);
+  const custody::Held job{{5, 1699999999, 2}, {4, 1699999998, 1}, kRecordText};
+  const custody::Held promisedOnly{{9, 1699999999, 0}, {}, ""};
+  CHECK(ledger.all().at("job/67eb5d85ff9a8b1d") == job);
+  CHECK(ledger.all().at("job/0000000000000001") == promisedOnly);
+  CHECK(ledger.life() > 1699999990); // greater than the life that wrote it
+}
+
+TEST_CASE("a state of names that the earlier version wrote is read, and written again to the byte") {
+  constexpr Ns kUnixAtZero = 1'700'000'000 * kSec, kSavedAt = 1000 * kSec;
+  const store::Kind kind{"names", "n0", names::kSnapshotFormat};
+  const auto bytes = bytesOf(data("names-1b4e476.state"));
+  const auto opened = store::open(bytes, kind);
+  REQUIRE(opened.refusal == store::Opened::none);
+  Ns savedAt = 0;
+  const auto past = names::readPast(opened.payload, kUnixAtZero, savedAt);
+  REQUIRE(past);
+  CHECK(savedAt == kSavedAt);
+  REQUIRE(past->sets.size() == 1);
+  CHECK(past->sets[0].name == "_pg._tcp.maps.example");
+  CHECK(past->sets[0].servers[0].target.port == 6432);
+  REQUIRE(past->listed.size() == 1);
+  CHECK(past->listed[0].listing.mode == Mode::draining);
+  CHECK(past->listed[0].listing.start == kSavedAt - kSec);
+  CHECK(past->departed[0].second == kSavedAt - 5 * kSec);
+  CHECK(store::seal(kind, names::writePast(*past, kUnixAtZero, savedAt)) == bytes);
+}
