--- a/bench/names_bench.cpp
+++ b/bench/names_bench.cpp
@@ -1,7 +1,7 @@
 // What decoding an answer, merging it and writing a log line cost. Prints ns.
 #include "base/log/log.h"
-#include "decide/sources/sources.h"
 #include "format/dns/message.h"
+#include "policy/endpoint_merge.h"
 
 #include <benchmark/benchmark.h>
 #include <fcntl.h>
@@ -32,19 +32,19 @@
 }
 
 void merge(benchmark::State &state) {
-  using namespace sources;
+  using namespace endpoint_merge;
   const int n = static_cast<int>(state.range(0));
-  Sources s({}, 3600 * kSec, 0, subset::Subset(1, 0, 0));
+  EndpointMerge s({}, 3600 * kSecond, 0, subsetting::Subset(1, 0, 0));
   s.follow("_pg._tcp.maps.example", 1, -1);
   std::vector<Target> targets;
   for (int i = 0; i < n; ++i) targets.push_back({"s-" + std::to_string(i) + ".maps.example", 6432, 0, 1});
-  s.named(0, Word::records, targets, 60 * kSec, kSec);
+  s.named(0, Word::records, targets, 60 * kSecond, kSecond);
   for (int i = 0; i < n; ++i)
     s.resolved(targets[static_cast<std::size_t>(i)].host, Word::records,
                {"10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250)});
   for (auto _ : state) {
-    s.named(0, Word::records, targets, 60 * kSec, kSec);
-    benchmark::DoNotOptimize(s.merged(kSec));
+    s.named(0, Word::records, targets, 60 * kSecond, kSecond);
+    benchmark::DoNotOptimize(s.merged(kSecond));
   }
 }
 
--- a/fuzz/dns_message.cpp
+++ b/fuzz/dns_message.cpp
@@ -1,5 +1,5 @@
 // Any bytes as an answer, and what is read from them through a whole look-up.
-#include "decide/resolver/agenda.h"
+#include "policy/dns_refresh_schedule.h"
 
 #include <cstdint>
 #include <cstdlib>
@@ -8,10 +8,10 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char *>(data), size);
-  static const resolver::Resolution terms;
-  resolver::NameServers servers(2);
+  static const dns_resolution::ResolutionSettings terms;
+  dns_resolution::NameServers servers(2);
   std::knuth_b chance(1);
-  resolver::Lookup lookup({"_pg._tcp.maps.example", dns::Type::srv}, terms, servers);
+  dns_resolution::Lookup lookup({"_pg._tcp.maps.example", dns::Type::srv}, terms, servers);
   for (int n = 0; n < 40 && !lookup.over(); ++n) {
     auto ask = lookup.next(n, chance);
     if (size >= 2)
@@ -26,7 +26,7 @@
       lookup.answered(message, true, n);
       break;
     default:
-      lookup.mishap(resolver::Mishap::unreadable, n);
+      lookup.mishap(dns_resolution::Mishap::unreadable, n);
     }
   }
   if (!lookup.over()) std::abort(); // a look-up ends
--- a/lab/bench_fleet.cpp
+++ b/lab/bench_fleet.cpp
@@ -30,7 +30,7 @@
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     close(fds[0]);
     sched::Scheduler sched;
-    net::Descriptors budget(100'000);
+    net::DescriptorBudget budget(100'000);
     const auto any = *net::parseAddress("127.0.0.1:0");
     Fleet::Beginning beginning{any, any, 1, {}, {0.3, 1}, work, 1};
     for (int i = 1; i <= kNodes; ++i) beginning.nodes.emplace_back("s-" + std::to_string(i), any);
--- a/lab/bench_fleet.h
+++ b/lab/bench_fleet.h
@@ -1,4 +1,4 @@
-// Nodes, discovery and platform in a process of their own, for measures of one marshal's costs.
+// Nodes, discovery and platform in a process of their own, for measures of one instance's costs.
 #pragma once
 
 #include "lab/node.h"
@@ -22,7 +22,7 @@
 // "platform", "known" (the node list) and "servers".
 nlohmann::json startFleet(ChildProcess &child, const Work &work);
 
-// Writes the configuration of a marshal before that fleet into the folder; returns the file's path.
+// Writes the configuration of an instance before that fleet into the folder; returns the file's path.
 std::string writeConfiguration(const nlohmann::json &fleet, const std::string &folder);
 
 } // namespace myrtlehead::lab
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -1,4 +1,4 @@
-// A toy fleet on loopback, to look at and to try a marshal with: nodes, discovery and platform in one
+// A toy fleet on loopback, to look at and to try an instance with: nodes, discovery and platform in one
 // process. It keeps to the protocol's forms and has the project's own parsers; it is no measure of anything.
 #pragma once
 
@@ -17,11 +17,11 @@
     net::Address discovery, platform;
     int build = 1;
     std::vector<std::pair<std::string, net::Address>> nodes; // names and addresses
-    std::vector<double> caps;                                // by stage
+    std::vector<double> stageCaps;                           // by stage
     Work work = {};
     std::uint64_t seed = 1;
   };
-  Fleet(net::Scheduler &sched, net::Descriptors &budget, const Beginning &beginning);
+  Fleet(net::Scheduler &sched, net::DescriptorBudget &budget, const Beginning &beginning);
 
   std::string discovery() const { return text(*discovery_); }
   std::string platform() const { return text(*platform_); }
@@ -36,7 +36,7 @@
   EmulatedNode *find(const std::string &name);
   std::vector<std::string> inService() const;
   // Listed as leaving for so long, then as in service again.
-  net::Task<> drainFor(std::string name, net::Ns lasts);
+  net::Task<> drainFor(std::string name, net::Nanoseconds lasts);
   // SRV and A records of what is in service, and of what leaves unless names forget it at once.
   std::vector<std::string> zone(const std::string &service, int ttl, bool forget) const;
   Ledger ledger;
@@ -47,10 +47,10 @@
   int build() const { return build_; }
   const std::string &phase() const { return phase_; }
   int stages() const { return stagesTold_; }
-  sched::Signal &listChanged() { return listChanged_; }
+  sched::Event &listChanged() { return listChanged_; }
 
 private:
-  struct Node {
+  struct Endpoint {
     std::string name, status = "in_service";
     int build = 0;
     long long since = 0; // Unix time in milliseconds, 0: long ago
@@ -60,21 +60,21 @@
   using Handler = net::Task<bool> (Fleet::*)(net::Socket &, const http::Head &, const std::string &);
 
   static std::string text(const net::Socket &listener);
-  Node &start(std::string name, net::Address at, int build, bool bad, long long since);
+  Endpoint &start(std::string name, net::Address at, int build, bool bad, long long since);
   net::Task<> httpDoor(net::Socket &listener, Handler handler);
   net::Task<> httpSession(std::unique_ptr<net::Socket> socket, Handler handler);
   net::Task<bool> answerDiscovery(net::Socket &socket, const http::Head &head, const std::string &body);
   net::Task<bool> answerPlatform(net::Socket &socket, const http::Head &head, const std::string &body);
-  net::Task<> fillStage();       // the stage's part of the fleet gets the newest build
-  net::Task<> goBack();          // and loses it again
-  net::Task<> drain(Node &node); // listed as leaving, then as gone
-  void changed(Node &node);
+  net::Task<> fillStage();           // the stage's part of the fleet gets the newest build
+  net::Task<> goBack();              // and loses it again
+  net::Task<> drain(Endpoint &node); // listed as leaving, then as gone
+  void changed(Endpoint &node);
   void tell(int stage, const char *phase, double cap);
 
   net::Scheduler &sched_;
-  net::Descriptors &budget_;
+  net::DescriptorBudget &budget_;
   std::unique_ptr<net::Socket> discovery_, platform_;
-  std::deque<Node> nodes_;
+  std::deque<Endpoint> nodes_;
   std::uint64_t version_ = 1;
   std::vector<double> caps_;
   Work work_;
@@ -83,8 +83,8 @@
   bool bad_ = false;
   std::string phase_ = "Healthy";
   double cap_ = 1;
-  net::Ns since_ = 0;
-  sched::Signal listChanged_, newsChanged_;
+  net::Nanoseconds since_ = 0;
+  sched::Event listChanged_, newsChanged_;
 };
 
 } // namespace myrtlehead::lab
--- a/lab/floor.cpp
+++ b/lab/floor.cpp
@@ -37,15 +37,15 @@
 }
 
 struct Measured {
-  double cpu = 0, p50 = 0, p99 = 0, completed = 0; // us a req; ms; part
+  double cpu = 0, p50 = 0, p99 = 0, completed = 0; // us a request; ms; part
 };
 
-Measured loadOnce(sched::Scheduler &sched, net::Descriptors &budget, net::Address to, double perSecond,
+Measured loadOnce(sched::Scheduler &sched, net::DescriptorBudget &budget, net::Address to, double perSecond,
                   int pid, std::uint64_t seed) {
   const Load load{.perSecond = perSecond,
-                  .lasts = 4 * kSec,
+                  .lasts = 4 * kSecond,
                   .connections = std::clamp(static_cast<int>(perSecond / 20), 64, 1024),
-                  .patience = kSec};
+                  .patience = kSecond};
   LoadTool tool(
       sched, budget, [to] { return to; }, load, seed,
       "f" + std::to_string(seed) + "x" + std::to_string(static_cast<int>(perSecond)) + "r");
@@ -82,7 +82,7 @@
 // A fresh scheduler for each load: its coroutines end with it.
 Measured fresh(net::Address to, double perSecond, int pid, std::uint64_t seed) {
   sched::Scheduler sched;
-  net::Descriptors budget(100'000);
+  net::DescriptorBudget budget(100'000);
   auto out = loadOnce(sched, budget, to, perSecond, pid, seed);
   sched.endAll();
   return out;
@@ -92,15 +92,15 @@
 
 int floorMeasure(const std::string &program, const std::string &folder, int runs) {
   ChildProcess fleet, bare;
-  const auto addresses = startFleet(fleet, {.cores = 10'000, .mean = 20 * kMs, .queue = 10'000});
+  const auto addresses = startFleet(fleet, {.cores = 10'000, .mean = 20 * kMillisecond, .queue = 10'000});
   const auto relayAt = startRelay(bare, addresses);
   sched::Scheduler sched;
-  net::Descriptors budget(100'000);
+  net::DescriptorBudget budget(100'000);
   Process marshal(sched, budget, program, {"serve", "--config", writeConfiguration(addresses, folder)},
                   folder + "/floor.log");
   std::optional<net::Address> marshalAt;
   auto start = [&]() -> sched::Task<> {
-    const net::Until until{sched.now() + 10 * kSec, nullptr};
+    const net::Deadline until{sched.now() + 10 * kSecond, nullptr};
     const auto line = co_await marshal.line("marshal serves", until);
     marshalAt = net::parseAddress(line.substr(line.find(" at=") + 4));
     sched.halt();
--- a/lab/floor.h
+++ b/lab/floor.h
@@ -1,11 +1,11 @@
-// The floor: what passing bytes on costs at the least, and what the marshal costs beside it.
+// The floor: what passing bytes on costs at the least, and what the instance costs beside it.
 #pragma once
 
 #include <string>
 
 namespace myrtlehead::lab {
 
-// Relay and marshal in turn, at three loads, `runs` times each; prints medians and spreads. 0.
+// Relay and instance in turn, at three loads, `runs` times each; prints medians and spreads. 0.
 int floorMeasure(const std::string &marshal, const std::string &folder, int runs);
 
 } // namespace myrtlehead::lab
--- a/lab/process.h
+++ b/lab/process.h
@@ -1,4 +1,4 @@
-// A marshal as a process of its own, its log kept, its costs read from /proc.
+// A instance as a process of its own, its log kept, its costs read from /proc.
 #pragma once
 
 #include "base/net/socket.h"
@@ -19,16 +19,16 @@
 class Process {
 public:
   // Starts `program`; standard error goes to the file and is searched for words on the way.
-  Process(net::Scheduler &sched, net::Descriptors &budget, const std::string &program,
+  Process(net::Scheduler &sched, net::DescriptorBudget &budget, const std::string &program,
           const std::vector<std::string> &arguments, const std::string &logFile);
   ~Process(); // killed, if it still runs
   Process(const Process &) = delete;
   Process &operator=(const Process &) = delete;
 
   // The first line that holds the words, once it is written; "" if the process ends or `until` comes first.
-  net::Task<std::string> line(std::string words, net::Until until);
+  net::Task<std::string> line(std::string words, net::Deadline until);
   net::Task<int>
-  end(net::Until until); // SIGTERM, then its exit code; -1: it did not end in time, or was killed
+  end(net::Deadline until); // SIGTERM, then its exit code; -1: it did not end in time, or was killed
   void kill(int signal);
   bool runs();
   Costs costs() const { return costsOf(pid_); }
@@ -39,7 +39,7 @@
     std::unique_ptr<net::Socket> socket;
     net::Buffer buffer;
     std::string all, file;
-    sched::Signal more;
+    sched::Event more;
   };
   static net::Task<> read(std::shared_ptr<Log> log);
   net::Scheduler &sched_;
--- a/lab/relay.cpp
+++ b/lab/relay.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Two descriptors whose bytes go to each other. What can't be written at once ends both: reqs and answers are
-// small.
+// Two descriptors whose bytes go to each other. What can't be written at once ends both: requests and answers
+// are small.
 struct Pair {
   int fd[2];
   bool over = false;
--- a/lab/relay.h
+++ b/lab/relay.h
@@ -1,5 +1,5 @@
 // A bare relay: bytes passed on, one connection to a server for each client. It decides nothing; it is the
-// floor that the marshal's costs are held against.
+// floor that the instance's costs are held against.
 #pragma once
 
 #include "base/net/socket.h"
--- a/lab/run.h
+++ b/lab/run.h
@@ -1,4 +1,4 @@
-// Plays a scenario against real marshals and checks the five rules; writes and compares reports.
+// Plays a scenario against real instances and checks the five rules; writes and compares reports.
 #pragma once
 
 #include "lab/scenario.h"
@@ -14,7 +14,7 @@
   bool live = false;   // a line a second
 };
 
-// The report: totals, times, rules, seconds. Throws where a marshal does not start.
+// The report: totals, times, rules, seconds. Throws where an instance does not start.
 nlohmann::json play(const Scenario &scenario, const Playing &how);
 
 bool rulesKept(const nlohmann::json &report);
--- a/lab/sizes.cpp
+++ b/lab/sizes.cpp
@@ -1,6 +1,6 @@
 #include "lab/sizes.h"
 
-#include "decide/sources/sources.h"
+#include "policy/endpoint_merge.h"
 
 #include <algorithm>
 #include <ctime>
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kServers = 10'000, kMarshals = 500, kSize = 100, kChanged = kServers / 100;
-using Holdings = std::vector<std::vector<int>>; // by marshal: numbers of servers, sorted
+using Holdings = std::vector<std::vector<int>>; // by instance: numbers of servers, sorted
 
 double cpuSeconds() {
   timespec t{};
@@ -34,7 +34,7 @@
   return servers;
 }
 
-// The k-th server to the k-th marshal, each server to five in a row.
+// The k-th server to the k-th instance, each server to five in a row.
 Holdings modulo(const std::vector<int> &servers) {
   Holdings out(kMarshals);
   const int each = kMarshals * kSize / kServers;
@@ -45,7 +45,7 @@
   return out;
 }
 
-// Each marshal draws its hundred anew, from a seed of its own.
+// Each instance draws its hundred anew, from a seed of its own.
 Holdings drawn(const std::vector<int> &servers) {
   Holdings out;
   for (int m = 0; m < kMarshals; ++m) {
@@ -70,7 +70,7 @@
   return n;
 }
 
-// Each marshal has the same reqs and spreads them evenly over what it holds.
+// Each instance has the same requests and spreads them evenly over what it holds.
 double spread(const Holdings &h, const std::vector<int> &servers) {
   std::vector<double> load(2 * kServers);
   for (const auto &held : h)
@@ -97,7 +97,7 @@
   double first = 0, update = 0;
   const auto beforeNames = namesOf(before), afterNames = namesOf(after);
   for (int m = 0; m < kMarshals; ++m) {
-    subset::Subset s(kMarshals, m, kSize);
+    subsetting::Subset s(kMarshals, m, kSize);
     const auto fill = [&](const std::vector<std::string> &names, const std::vector<int> &servers,
                           Holdings &out, double &time) {
       const double begun = cpuSeconds();
@@ -130,8 +130,8 @@
 
 // All of `n` servers by five names or fewer, and one in a hundred of them replaced.
 void merges(int n, int size) {
-  using namespace sources;
-  Sources s({}, 3600 * kSec, 0, subset::Subset(kMarshals, 3, size));
+  using namespace endpoint_merge;
+  EndpointMerge s({}, 3600 * kSecond, 0, subsetting::Subset(kMarshals, 3, size));
   const int sets = std::max(n / 2000, 1);
   const auto targets = [&](int set, int from) {
     std::vector<Target> out;
@@ -140,10 +140,10 @@
     return out;
   };
   for (int i = 0; i < sets; ++i) s.follow("_pg" + std::to_string(i) + "._tcp.maps.example", 1, -1);
-  Ns now = kSec;
+  Nanoseconds now = kSecond;
   const auto tell = [&](int from) {
     for (int i = 0; i < sets; ++i)
-      s.named(static_cast<std::size_t>(i), Word::records, targets(i, from), now + 60 * kSec, now);
+      s.named(static_cast<std::size_t>(i), Word::records, targets(i, from), now + 60 * kSecond, now);
     for (const auto &w : s.hostsWanted()) {
       const int i = std::stoi(w.host.substr(2));
       s.resolved(w.host, Word::records,
@@ -156,7 +156,7 @@
   constexpr int kRounds = 20;
   double told = 0, merged = 0;
   for (int round = 1; round <= kRounds; ++round) {
-    now += 30 * kSec;
+    now += 30 * kSecond;
     double begun = cpuSeconds();
     tell(round * std::max(n / 100, 1));
     told += cpuSeconds() - begun;
--- a/lab/starts.cpp
+++ b/lab/starts.cpp
@@ -1,6 +1,6 @@
 #include "lab/starts.h"
 
-#include "follow/names/names.h"
+#include "control/dns/dns_discovery.h"
 #include "lab/dns_server.h"
 
 #include <algorithm>
@@ -14,10 +14,11 @@
 namespace {
 
 constexpr int kMarshals = 100, kServers = 20, kTtl = 10;
-constexpr sched::Ns kMinute = 60'000'000'000;
+constexpr sched::Nanoseconds kMinute = 60'000'000'000;
 
 struct Crowd {
-  Crowd(sched::Scheduler &sched, net::Descriptors &budget, bool jitter, log::Log log) : dns(sched, budget) {
+  Crowd(sched::Scheduler &sched, net::DescriptorBudget &budget, bool jitter, log::Log log)
+      : dns(sched, budget) {
     std::vector<std::string> zone;
     for (int i = 0; i < kServers; ++i) {
       const auto host = fmt::format("s-{}.maps.example.", i);
@@ -34,12 +35,12 @@
       naming.resolution.refreshFrom = naming.resolution.refreshTo = 0.85;
     }
     for (int i = 0; i < kMarshals; ++i) {
-      sources.emplace_back(naming.prudence, naming.resolution.staleMost, 0, subset::Subset(1, 0, 0));
+      sources.emplace_back(naming.prudence, naming.resolution.staleMost, 0, subsetting::Subset(1, 0, 0));
       names.emplace_back(sched, budget, sources.back(), naming, static_cast<std::uint64_t>(i), log, counters);
       sched.spawn(names.back().run(true));
     }
   }
-  void print(const char *name, sched::Ns begun) const {
+  void print(const char *name, sched::Nanoseconds begun) const {
     std::vector<int> seconds(60);
     for (const auto t : dns.times)
       ++seconds[std::min<std::size_t>(static_cast<std::size_t>((t - begun) / 1'000'000'000), 59)];
@@ -51,14 +52,14 @@
     fmt::print("\n");
   }
   DnsServer dns;
-  names::Naming naming;
+  dns_discovery::DnsSettings naming;
   prometheus::Registry registry;
-  names::Counters counters{registry};
-  std::deque<sources::Sources> sources;
-  std::deque<names::Names> names;
+  dns_discovery::DnsMetrics counters{registry};
+  std::deque<endpoint_merge::EndpointMerge> sources;
+  std::deque<dns_discovery::DnsDiscovery> names;
 };
 
-sched::Task<> waitFor(sched::Scheduler &sched, sched::Ns time) {
+sched::Task<> waitFor(sched::Scheduler &sched, sched::Nanoseconds time) {
   co_await sched.sleep(time);
   sched.halt();
 }
@@ -67,7 +68,7 @@
 
 int starts() {
   sched::Scheduler sched;
-  net::Descriptors budget(10'000);
+  net::DescriptorBudget budget(10'000);
   std::ostringstream lines;
   log::Logs logs(lines, log::Form::text, {log::Level::error, {}});
   const auto begun = sched.now();
--- a/lab/starts.h
+++ b/lab/starts.h
@@ -1,4 +1,4 @@
-// What a hundred marshals that start in one instant ask of a server of names.
+// What a hundred instances that start in one instant ask of a server of names.
 #pragma once
 
 namespace myrtlehead::lab {
--- a/lab/tally.h
+++ b/lab/tally.h
@@ -1,4 +1,4 @@
-// Counts over the logs of a whole fleet: what is harmless in one marshal's log shows when it is summed by
+// Counts over the logs of a whole fleet: what is harmless in one instance's log shows when it is summed by
 // second.
 #pragma once
 
@@ -11,24 +11,24 @@
 
 namespace myrtlehead::lab {
 
-// What one kind of line came to: in all, how many marshals wrote it, and its busiest second.
+// What one kind of line came to: in all, how many instances wrote it, and its busiest second.
 struct Kind {
   std::uint64_t lines = 0, marshals = 0;
   std::int64_t busiest = 0;   // Unix time, s
   std::uint64_t most = 0;     // lines in it
-  std::uint64_t together = 0; // marshals in it
+  std::uint64_t together = 0; // instances in it
 };
 
 class Tally {
 public:
-  // One marshal's log, in the text form. What is no line of a log is counted and passed over.
+  // One instance's log, in the text form. What is no line of a log is counted and passed over.
   void read(std::istream &log);
   std::map<std::string, Kind> kinds() const; // by package and message, numbers left out of it
   std::uint64_t passedOver() const { return passedOver_; }
 
 private:
   struct Second {
-    std::uint64_t lines = 0, marshals = 0, last = 0; // last: the marshal counted last
+    std::uint64_t lines = 0, marshals = 0, last = 0; // last: the instance counted last
   };
   struct Held {
     std::map<std::int64_t, Second> seconds;
--- a/src/front/metrics/endpoint.cpp
+++ b/src/admin/metrics_server.cpp
@@ -1,22 +1,22 @@
-#include "front/metrics/endpoint.h"
+#include "admin/metrics_server.h"
 
 #include "format/http/http.h"
 
 #include <prometheus/registry.h>
 #include <prometheus/text_serializer.h>
 
-namespace myrtlehead::metrics {
+namespace myrtlehead::admin {
 
 namespace {
 constexpr int kMostOpen = 4;
-constexpr sched::Ns kWithin = 2'000'000'000; // for a request, and for reading its answer
+constexpr sched::Nanoseconds kWithin = 2'000'000'000; // for a request, and for reading its answer
 } // namespace
 
-Endpoint::Endpoint(net::Scheduler &sched, net::Descriptors &budget, prometheus::Registry &registry,
-                   net::Address at)
+MetricsServer::MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget,
+                             prometheus::Registry &registry, net::Address at)
     : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenAt(sched, budget, at)) {}
 
-net::Task<> Endpoint::accept() {
+net::Task<> MetricsServer::accept() {
   for (;;) {
     auto socket = net::acceptNow(sched_, budget_, *listener_);
     if (socket && open_ < kMostOpen)
@@ -26,19 +26,19 @@
   }
 }
 
-net::Task<> Endpoint::serve(std::unique_ptr<net::Socket> socket) {
+net::Task<> MetricsServer::serve(std::unique_ptr<net::Socket> socket) {
   struct Open {
     int &n;
     ~Open() { --n; }
   } open{++open_};
-  const net::Until until{sched_.now() + kWithin, nullptr};
+  const net::Deadline until{sched_.now() + kWithin, nullptr};
   net::Buffer buffer;
   http::Head head;
   std::size_t size = 0;
   auto parsed = http::Parsed::more;
   while ((parsed = http::parseRequest(buffer.view(), head, size)) == http::Parsed::more) {
     const auto cause = co_await socket->read(buffer, until);
-    if (cause != net::Cause::none) co_return;
+    if (cause != net::ErrorCode::none) co_return;
   }
   if (parsed == http::Parsed::bad) co_return;
   const bool known = head.target == "/metrics" && head.method == "GET";
@@ -47,7 +47,7 @@
              "\r\nContent-Type: text/plain; version=0.0.4\r\nConnection: close\r\nContent-Length: " +
              std::to_string(body.size()) + "\r\n\r\n" + body;
   const auto written = co_await socket->write(out, until);
-  if (written == net::Cause::none) socket->endWriting();
+  if (written == net::ErrorCode::none) socket->endWriting();
 }
 
-} // namespace myrtlehead::metrics
+} // namespace myrtlehead::admin
--- a/src/front/metrics/endpoint.h
+++ b/src/admin/metrics_server.h
@@ -9,22 +9,23 @@
 class Registry;
 }
 
-namespace myrtlehead::metrics {
+namespace myrtlehead::admin {
 
-class Endpoint {
+class MetricsServer {
 public:
   // Throws std::system_error where the address can't be had.
-  Endpoint(net::Scheduler &sched, net::Descriptors &budget, prometheus::Registry &registry, net::Address at);
+  MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget, prometheus::Registry &registry,
+                net::Address at);
   net::Task<> accept(); // for as long as the program lives
   net::Address address() const { return net::localAddress(*listener_); }
 
 private:
   net::Task<> serve(std::unique_ptr<net::Socket> socket);
   net::Scheduler &sched_;
-  net::Descriptors &budget_;
+  net::DescriptorBudget &budget_;
   prometheus::Registry &registry_;
   std::unique_ptr<net::Socket> listener_;
   int open_ = 0;
 };
 
-} // namespace myrtlehead::metrics
+} // namespace myrtlehead::admin
--- a/src/program/setup/station.cpp
+++ b/src/app/bootstrap/bootstrap_config.cpp
@@ -1,10 +1,10 @@
-#include "program/setup/station.h"
+#include "app/bootstrap/bootstrap_config.h"
 
 #include <charconv>
 #include <fstream>
 #include <sstream>
 
-namespace myrtlehead::setup {
+namespace myrtlehead::bootstrap {
 
 namespace {
 
@@ -55,7 +55,7 @@
   return text.str();
 }
 
-std::string needsRestart(const Station &from, const Station &to) {
+std::string needsRestart(const BootstrapConfig &from, const BootstrapConfig &to) {
   std::string out;
   for (const char *name : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"}) {
     const auto *was = from.text.find(name), *is = to.text.find(name);
@@ -65,12 +65,12 @@
   return out;
 }
 
-Station readStation(std::string_view text) {
+BootstrapConfig readStation(std::string_view text) {
   std::string error;
   const auto in = json::parse(text, &error);
   if (!in || in->kind != json::Value::object)
     throw SetupError("the configuration is no JSON object: " + error);
-  Station s;
+  BootstrapConfig s;
   s.name = field(*in, "name", json::Value::string).text;
   s.listen = address(*in, "listen", true);
   s.discovery = address(*in, "discovery", true);
@@ -85,25 +85,25 @@
   s.deployment = readDeployment(paths);
   s.routes = names(settings, "services", "name");
   for (std::size_t i = 0; i < s.routes.size(); ++i)
-    s.routeTimeouts.push_back(paths.micros("services." + std::to_string(i) + ".deadlineUs", 60 * kSec));
+    s.routeTimeouts.push_back(paths.micros("services." + std::to_string(i) + ".deadlineUs", 60 * kSecond));
   s.zones = names(settings, "failureDomains", nullptr);
   if (const auto *report = settings.find("telemetry")) s.loadNames = names(*report, "fields", nullptr);
-  s.connectWithin = paths.micros("limits.connectTimeoutUs", kSec);
-  s.idleAtMost = paths.micros("limits.connIdleUs", 30 * kSec);
-  s.callWithin = paths.micros("familyInfo.callTimeoutUs", kSec);
+  s.connectWithin = paths.micros("limits.connectTimeoutUs", kSecond);
+  s.idleAtMost = paths.micros("limits.connIdleUs", 30 * kSecond);
+  s.callWithin = paths.micros("familyInfo.callTimeoutUs", kSecond);
   const auto own = Paths::ofJson(*in);
   s.descriptors = static_cast<int>(own.whole("limits.sockets", 1024, 64, 1'000'000));
   s.memory = static_cast<std::size_t>(own.whole("limits.memory_mb", 192, 16, 1'000'000)) << 20;
 
-  s.peerListen = address(*in, "peer_listen", s.deployment.peers);
+  s.peerListen = address(*in, "peer_listen", s.deployment.hasPeers);
   s.peersAll = address(*in, "peers_all", false);
   if (const auto *peers = in->find("peers"))
     for (const auto &peer : peers->items) s.peers.push_back(address(peer, "peers"));
   if (s.deployment.routes.empty()) throw SetupError("settings: there is no route");
-  if (s.deployment.peers && s.peers.size() != static_cast<std::size_t>(s.deployment.marshals))
+  if (s.deployment.hasPeers && s.peers.size() != static_cast<std::size_t>(s.deployment.instanceCount))
     throw SetupError("the configuration's 'peers' has not one address for each marshal");
   s.text = *in;
   return s;
 }
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::bootstrap
--- a/src/program/setup/deployment.cpp
+++ b/src/app/bootstrap/deployment_decoder.cpp
@@ -1,13 +1,13 @@
-#include "program/setup/deployment.h"
+#include "app/bootstrap/deployment_decoder.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace myrtlehead::setup {
+namespace myrtlehead::bootstrap {
 
 namespace {
 
-constexpr Ns kUs = 1000;
+constexpr Nanoseconds kMicrosecond = 1000;
 
 double parse(const std::string &path, std::string_view w) {
   double v = 0;
@@ -19,48 +19,50 @@
 
 Route readRoute(const Paths &in, const std::string &at) {
   Route r;
-  r.objective = in.micros(at + "onTimeUs", kSec);
-  r.dedupeWindow = in.micros(at + "repeatWindowUs", 0);
-  r.importance = in.real(at + "worth", 1);
+  r.latencyObjective = in.micros(at + "onTimeUs", kSecond);
+  r.idempotencyWindow = in.micros(at + "repeatWindowUs", 0);
+  r.priorityWeight = in.real(at + "worth", 1);
   const auto effect = in.word(at + "effect", "single_shot"), group = in.word(at + "group", "all");
   if (effect != "free" && effect != "guarded" && effect != "single_shot")
     throw SetupError("settings: " + at + "effect is unknown: '" + std::string(effect) + "'");
-  r.repeat = effect == "free"      ? Repeat::retriable
-             : effect == "guarded" ? Repeat::deduped
-                                   : Repeat::nonRetriable;
+  r.idempotency = effect == "free"      ? Idempotency::idempotent
+                  : effect == "guarded" ? Idempotency::idempotentWithKey
+                                        : Idempotency::notIdempotent;
   if (group != "all" && group != "zone" && group != "cell")
     throw SetupError("settings: " + at + "group is unknown: '" + std::string(group) + "'");
-  r.group = group == "all" ? Group::all : group == "zone" ? Group::zone : Group::cell;
+  r.idempotencyScope = group == "all"    ? IdempotencyScope::anywhere
+                       : group == "zone" ? IdempotencyScope::zone
+                                         : IdempotencyScope::cell;
   return r;
 }
 
-Rollout readRollout(const Paths &in) {
-  Rollout r;
+RolloutSettings readRollout(const Paths &in) {
+  RolloutSettings r;
   const auto control = in.word("familyInfo.control", "first_voice");
   if (control != "first_voice" && control != "by_count" && control != "automatic")
     throw SetupError("settings: familyInfo.control is unknown: '" + std::string(control) + "'");
-  r.control = control == "automatic"  ? Control::clock
-              : control == "by_count" ? Control::byCount
-                                      : Control::anyVoice;
-  r.caps = in.reals("familyInfo.caps");
-  r.free = in.real("familyInfo.free", 0);
-  r.capByRoute = in.word("familyInfo.capScope", "all") == "each_class";
-  r.noReturn = in.flag("familyInfo.noReturn");
-  r.earlierStay = in.word("familyInfo.swap", "replace") == "parallel";
-  r.guardedStages = static_cast<int>(in.whole("familyInfo.guardedStages", 0, 0, 1000));
-  r.foundShare = in.real("familyInfo.foundShare", 0);
-  r.votesToGo = static_cast<int>(in.whole("familyInfo.votesToGo", 0, 0, 1'000'000));
-  r.noesNeeded = static_cast<int>(in.whole("familyInfo.noesNeeded", 1, 0, 1'000'000));
-  r.stoppers = static_cast<int>(in.whole("familyInfo.stoppers", 0, 0, 1'000'000));
-  r.voteStands = in.micros("familyInfo.voteStandsUs", 4 * kSec);
-  r.voteAllowance = in.real("familyInfo.voteAllowance", 1);
+  r.control = control == "automatic"  ? RolloutControl::timer
+              : control == "by_count" ? RolloutControl::quorum
+                                      : RolloutControl::anyVote;
+  r.stageCaps = in.reals("familyInfo.caps");
+  r.freeAttempts = in.real("familyInfo.free", 0);
+  r.capPerRoute = in.word("familyInfo.capScope", "all") == "each_class";
+  r.stickyKeys = in.flag("familyInfo.noReturn");
+  r.baselineStays = in.word("familyInfo.swap", "replace") == "parallel";
+  r.idempotentOnlyStages = static_cast<int>(in.whole("familyInfo.guardedStages", 0, 0, 1000));
+  r.reportedWrongShare = in.real("familyInfo.foundShare", 0);
+  r.votesToPromote = static_cast<int>(in.whole("familyInfo.votesToGo", 0, 0, 1'000'000));
+  r.votesToRollBack = static_cast<int>(in.whole("familyInfo.noesNeeded", 1, 0, 1'000'000));
+  r.votesToHold = static_cast<int>(in.whole("familyInfo.stoppers", 0, 0, 1'000'000));
+  r.voteLifetime = in.micros("familyInfo.voteStandsUs", 4 * kSecond);
+  r.votesPerSecond = in.real("familyInfo.voteAllowance", 1);
   return r;
 }
 
-LoadField loadField(std::string_view name) {
-  if (name == "active") return LoadField::active;
-  if (name == "waiting") return LoadField::waiting;
-  return name == "cpu" ? LoadField::cpu : LoadField::other;
+LoadReportField loadField(std::string_view name) {
+  if (name == "active") return LoadReportField::inFlight;
+  if (name == "waiting") return LoadReportField::queued;
+  return name == "cpu" ? LoadReportField::cpu : LoadReportField::other;
 }
 
 } // namespace
@@ -132,10 +134,10 @@
   return static_cast<long>(v);
 }
 
-Ns Paths::micros(const std::string &path, Ns absent) const {
-  const double v = real(path, static_cast<double>(absent) / kUs);
+Nanoseconds Paths::micros(const std::string &path, Nanoseconds absent) const {
+  const double v = real(path, static_cast<double>(absent) / kMicrosecond);
   if (v < 0 || v > 1e15) throw SetupError("settings: " + path + " is out of range");
-  return static_cast<Ns>(v) * kUs;
+  return static_cast<Nanoseconds>(v) * kMicrosecond;
 }
 
 bool Paths::flag(const std::string &path) const {
@@ -162,34 +164,34 @@
 
 Deployment readDeployment(const Paths &in) {
   Deployment d;
-  d.me = static_cast<int>(in.whole("me", 0, 0, 1'000'000));
-  d.marshals = static_cast<int>(in.whole("peersTotal", 1, 1, 1'000'000));
-  if (d.me >= d.marshals)
-    throw SetupError("settings: me is " + std::to_string(d.me) +
-                     ", but peersTotal, the number of marshals, is " + std::to_string(d.marshals) +
+  d.ownIndex = static_cast<int>(in.whole("me", 0, 0, 1'000'000));
+  d.instanceCount = static_cast<int>(in.whole("peersTotal", 1, 1, 1'000'000));
+  if (d.ownIndex >= d.instanceCount)
+    throw SetupError("settings: me is " + std::to_string(d.ownIndex) +
+                     ", but peersTotal, the number of marshals, is " + std::to_string(d.instanceCount) +
                      "; they are numbered from 0");
   d.zone = static_cast<int>(in.whole("locality", 0, 0, 65535));
   const auto routes = in.whole("services.count", 0, 0, 256);
   for (long i = 0; i < routes; ++i) d.routes.push_back(readRoute(in, "services." + std::to_string(i) + "."));
-  for (const auto &f : in.list("telemetry.fields")) d.loadFields.push_back(loadField(f));
+  for (const auto &f : in.list("telemetry.fields")) d.loadReportFields.push_back(loadField(f));
   const auto tenants = in.whole("parties.count", 0, 0, 65536);
   for (long i = 0; i < tenants; ++i)
-    d.tenantRps.push_back(in.real("parties." + std::to_string(i) + ".quotaRps", 0));
-  d.overShareWorth = in.real("overShareWorth", 1);
+    d.tenantQuotas.push_back(in.real("parties." + std::to_string(i) + ".quotaRps", 0));
+  d.overQuotaWeight = in.real("overShareWorth", 1);
   d.rollout = readRollout(in);
-  d.tick = in.micros("resolutionUs", kMs);
-  d.coldFor = in.micros("contract.coldUs", 0);
-  d.fallSpan = in.micros("contract.tipAfterUs", kSec);
-  d.askEvery = in.micros("contract.askEveryUs", 0);
+  d.tickInterval = in.micros("resolutionUs", kMillisecond);
+  d.warmupTime = in.micros("contract.coldUs", 0);
+  d.coldBudgetWindow = in.micros("contract.tipAfterUs", kSecond);
+  d.pollInterval = in.micros("contract.askEveryUs", 0);
   d.maxRetryAfter = in.micros("limits.maxRetryAfterUs", 0);
-  d.coldFrom = in.real("contract.coldFrom", 1);
-  d.fallMultiple = in.real("contract.fallMultiple", 1);
-  d.crossZonePrice = in.real("prices.crossZone", 0);
-  d.mostTries = static_cast<int>(in.whole("limits.mostTries", 1, 1, 255));
-  d.listAsked = in.word("registryMode", "push") == "ask";
-  d.peers = in.flag("limits.peers");
-  d.retryAfter = in.flag("limits.retryAfter");
+  d.warmupStartFraction = in.real("contract.coldFrom", 1);
+  d.coldBudgetMultiple = in.real("contract.fallMultiple", 1);
+  d.crossZoneCost = in.real("prices.crossZone", 0);
+  d.maxAttempts = static_cast<int>(in.whole("limits.mostTries", 1, 1, 255));
+  d.pollsEndpointList = in.word("registryMode", "push") == "ask";
+  d.hasPeers = in.flag("limits.peers");
+  d.sendsRetryAfter = in.flag("limits.retryAfter");
   return d;
 }
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::bootstrap
--- a/src/program/setup/deployment.h
+++ b/src/app/bootstrap/deployment_decoder.h
@@ -1,9 +1,9 @@
 // What the guard is told at its start, decoded once: from the path=value lines of the simulator's wire or
-// from the JSON of a marshal's configuration, by the same paths.
+// from the JSON of an instance's configuration, by the same paths.
 #pragma once
 
 #include "format/json/json.h"
-#include "guard/terms.h"
+#include "policy/types.h"
 
 #include <stdexcept>
 #include <string>
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace myrtlehead::setup {
+namespace myrtlehead::bootstrap {
 
 // Something is missing or out of range; what() says what and where.
 struct SetupError : std::runtime_error {
@@ -28,7 +28,7 @@
   std::string_view word(const std::string &path, std::string_view absent) const;
   double real(const std::string &path, double absent) const;
   long whole(const std::string &path, long absent, long least, long most) const;
-  Ns micros(const std::string &path, Ns absent) const;
+  Nanoseconds micros(const std::string &path, Nanoseconds absent) const;
   bool flag(const std::string &path) const;
   std::vector<std::string> list(const std::string &path) const;
   std::vector<double> reals(const std::string &path) const;
@@ -40,4 +40,4 @@
 
 Deployment readDeployment(const Paths &in);
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::bootstrap
--- a/src/program/check.cpp
+++ b/src/app/check.cpp
@@ -1,13 +1,13 @@
-#include "program/check.h"
+#include "app/check.h"
 
-#include "program/installation/installation.h"
-#include "program/setup/station.h"
+#include "app/bootstrap/bootstrap_config.h"
+#include "app/settings/settings.h"
 
 #include <algorithm>
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-namespace myrtlehead::program {
+namespace myrtlehead::app {
 
 namespace {
 
@@ -26,8 +26,8 @@
 }
 
 // The key that a sentence of the decoder quotes, and where it stands.
-setup::Fault faultOf(const std::string &text, const std::string &why) {
-  setup::Fault out{lineOf(text, why), "", why};
+settings::Fault faultOf(const std::string &text, const std::string &why) {
+  settings::Fault out{lineOf(text, why), "", why};
   const auto open = why.find('\''), close = why.find('\'', open + 1);
   if (out.line > 0 || open == std::string::npos || close == std::string::npos) return out;
   out.key = why.substr(open + 1, close - open - 1);
@@ -38,12 +38,12 @@
   return out;
 }
 
-std::vector<setup::Fault> faultsIn(const std::string &file) {
+std::vector<settings::Fault> faultsIn(const std::string &file) {
   std::string text;
   try {
-    text = setup::readFile(file);
-    if (!isConfiguration(text)) return setup::readInstallation(text, {}).faults;
-    setup::readStation(text);
+    text = bootstrap::readFile(file);
+    if (!isConfiguration(text)) return settings::readSettings(text, {}).faults;
+    bootstrap::readStation(text);
     return {};
   } catch (const std::exception &e) {
     return {faultOf(text, e.what())};
@@ -60,7 +60,7 @@
     any |= !faults.empty();
     if (!json && faults.empty()) fmt::print("{}: fine\n", file);
     for (const auto &fault : faults) {
-      if (!json) fmt::print("{}\n", setup::text(file, fault));
+      if (!json) fmt::print("{}\n", settings::text(file, fault));
       out.push_back({{"file", file}, {"line", fault.line}, {"key", fault.key}, {"what", fault.what}});
     }
   }
@@ -68,4 +68,4 @@
   return any ? 1 : 0;
 }
 
-} // namespace myrtlehead::program
+} // namespace myrtlehead::app
--- a/src/program/main.cpp
+++ b/src/app/main.cpp
@@ -1,9 +1,9 @@
 // The command line: what is asked for, and the exit code: 0, 1 (failed) or 2 (usage).
+#include "app/check.h"
+#include "app/resolve.h"
+#include "app/serve.h"
+#include "app/settings/settings.h"
 #include "format/dns/message.h"
-#include "program/check.h"
-#include "program/installation/installation.h"
-#include "program/resolve.h"
-#include "program/serve.h"
 
 #include <CLI/CLI.hpp>
 #include <cstdlib>
@@ -16,7 +16,7 @@
 constexpr const char *kVersion = MYRTLEHEAD_VERSION;
 
 struct Words {
-  program::Paths paths;
+  app::Paths paths;
   std::string log, logForm, output = "text", name, servers, within = "5s";
   std::vector<std::string> names, files;
 };
@@ -64,7 +64,7 @@
     words.paths.logForm = words.logForm == "json" ? log::Form::json : log::Form::text;
   if (words.paths.configuration.empty())
     throw CLI::RequiredError("--config, or PROXY_CONFIG in the environment,");
-  program::serve(words.paths);
+  app::serve(words.paths);
   return 0;
 }
 
@@ -77,9 +77,9 @@
   }
   for (const auto &name : words.names)
     if (!dns::canonical(name)) throw CLI::ValidationError("NAME", "'" + name + "' is no domain name");
-  const auto within = setup::parseDuration(words.within);
+  const auto within = settings::parseDuration(words.within);
   if (!within) throw CLI::ValidationError("--within", "'" + words.within + "' is no duration such as 5s");
-  return program::resolve(words.names, servers, *within, words.output == "json",
+  return app::resolve(words.names, servers, *within, words.output == "json",
                           levelsOf(words.log.empty() ? "error" : words.log));
 }
 
@@ -98,7 +98,7 @@
   try {
     app.parse(argc, argv);
     if (versioned->parsed()) return std::cout << "myrtlehead " << kVersion << '\n', 0;
-    if (checked->parsed()) return program::check(words.files, words.output == "json");
+    if (checked->parsed()) return app::check(words.files, words.output == "json");
     if (resolved->parsed()) return resolve(words);
     (void)served;
     return serve(words);
--- a/src/program/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -1,6 +1,6 @@
-#include "program/resolve.h"
+#include "app/resolve.h"
 
-#include "follow/names/names.h"
+#include "control/dns/dns_discovery.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -9,31 +9,34 @@
 #include <random>
 #include <unistd.h>
 
-namespace myrtlehead::program {
+namespace myrtlehead::app {
 
 namespace {
 
-sched::Task<> wait(sched::Scheduler &sched, const names::Names &names, sched::Ns until) {
-  do co_await sched.sleep(kMs * 5);
+sched::Task<> wait(sched::Scheduler &sched, const dns_discovery::DnsDiscovery &names,
+                   sched::Nanoseconds until) {
+  do co_await sched.sleep(kMillisecond * 5);
   while (!names.settled() && sched.now() < until);
   sched.halt();
 }
 
-nlohmann::json setOut(const names::Names &names, const std::string &name, std::size_t number, sched::Ns now) {
+nlohmann::json setOut(const dns_discovery::DnsDiscovery &names, const std::string &name, std::size_t number,
+                      sched::Nanoseconds now) {
   const dns::Question question{*dns::canonical(name), dns::Type::srv};
   constexpr const char *kAges[] = {"never", "fresh", "stale", "expired"};
   const auto &agenda = names.agenda();
   nlohmann::json out{{"name", name}, {"state", kAges[static_cast<int>(agenda.age(question, now))]}};
   if (agenda.goodAt(question) != 0) {
-    out["age_ms"] = (now - agenda.goodAt(question)) / kMs;
-    out["lifetime_left_ms"] = (agenda.goodUntil(question) - now) / kMs;
+    out["age_ms"] = (now - agenda.goodAt(question)) / kMillisecond;
+    out["lifetime_left_ms"] = (agenda.goodUntil(question) - now) / kMillisecond;
   }
   if (!names.lastFailure(number).empty()) out["cause"] = names.lastFailure(number);
   return out;
 }
 
 // Each address of each target, as the names tell it.
-nlohmann::json serversOut(const names::Names &names, const sources::Sources &sources, sched::Ns now) {
+nlohmann::json serversOut(const dns_discovery::DnsDiscovery &names,
+                          const endpoint_merge::EndpointMerge &sources, sched::Nanoseconds now) {
   nlohmann::json out = nlohmann::json::array();
   const auto past = sources.past();
   for (const auto &set : past.sets)
@@ -49,8 +52,8 @@
                        {"priority", server.target.priority},
                        {"weight", server.target.weight},
                        {"build", host->release < 0 ? "unknown" : std::to_string(host->release)},
-                       {"lifetime_left_ms", (std::min(set.goodUntil, until) - now) / kMs},
-                       {"age_ms", (now - set.goodAt) / kMs},
+                       {"lifetime_left_ms", (std::min(set.goodUntil, until) - now) / kMillisecond},
+                       {"age_ms", (now - set.goodAt) / kMillisecond},
                        {"source", set.name}});
     }
   return out;
@@ -76,20 +79,21 @@
 
 } // namespace
 
-int resolve(const std::vector<std::string> &asked, const std::vector<net::Address> &servers, sched::Ns within,
-            bool json, log::Levels levels) {
-  names::Naming naming;
+int resolve(const std::vector<std::string> &asked, const std::vector<net::Address> &servers,
+            sched::Nanoseconds within, bool json, log::Levels levels) {
+  dns_discovery::DnsSettings naming;
   naming.servers = servers;
   for (const auto &name : asked) naming.sets.push_back({name, -1, -1});
   sched::Scheduler sched;
-  net::Descriptors budget(512);
+  net::DescriptorBudget budget(512);
   log::Logs logs(STDERR_FILENO, log::Form::text, std::move(levels));
   prometheus::Registry registry;
-  names::Counters counters(registry);
-  sources::Sources sources(naming.prudence, naming.resolution.staleMost, 0, subset::Subset(1, 0, 0));
+  dns_discovery::DnsMetrics counters(registry);
+  endpoint_merge::EndpointMerge sources(naming.prudence, naming.resolution.staleMost, 0,
+                                        subsetting::Subset(1, 0, 0));
   std::random_device device;
-  names::Names names(sched, budget, sources, naming, (std::uint64_t{device()} << 32) | device(),
-                     logs.of("names"), counters);
+  dns_discovery::DnsDiscovery names(sched, budget, sources, naming,
+                                    (std::uint64_t{device()} << 32) | device(), logs.of("names"), counters);
   names.changed = [&] { sources.merged(sched.now()); };
   sched.spawn(names.run(false));
   sched.spawn(wait(sched, names, sched.now() + within));
@@ -107,4 +111,4 @@
   return known ? 0 : 1;
 }
 
-} // namespace myrtlehead::program
+} // namespace myrtlehead::app
--- a/src/program/serve.cpp
+++ b/src/app/serve.cpp
@@ -1,15 +1,15 @@
-#include "program/serve.h"
+#include "app/serve.h"
 
+#include "admin/metrics_server.h"
+#include "app/bootstrap/bootstrap_config.h"
+#include "app/settings/settings.h"
 #include "base/log/log.h"
-#include "fleet/fleet.h"
-#include "follow/catalog/watch.h"
-#include "follow/names/names.h"
-#include "follow/peers/datagrams.h"
-#include "follow/platform/desk.h"
-#include "front/clients/door.h"
-#include "front/metrics/endpoint.h"
-#include "program/installation/installation.h"
-#include "program/setup/station.h"
+#include "cluster/cluster_member.h"
+#include "control/discovery/endpoint_watch.h"
+#include "control/dns/dns_discovery.h"
+#include "control/peers/peer_transport.h"
+#include "control/rollout/rollout_client.h"
+#include "downstream/listener.h"
 
 #include <algorithm>
 #include <csignal>
@@ -21,16 +21,16 @@
 #include <sys/signalfd.h>
 #include <unistd.h>
 
-namespace myrtlehead::program {
+namespace myrtlehead::app {
 
 namespace {
 
-// The Unix time at which the marshal's clock read nought; read once, so that a step of the machine's clock
-// moves no node's start.
-Ns unixAtZero(Ns now) {
+// The Unix time at which the instance's clock read nought; read once, so that a step of the machine's clock
+// moves no endpoint's start.
+Nanoseconds unixAtZero(Nanoseconds now) {
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
-  return t.tv_sec * kSec + t.tv_nsec - now;
+  return t.tv_sec * kSecond + t.tv_nsec - now;
 }
 
 int descriptorsAllowed(int told) {
@@ -52,13 +52,13 @@
 }
 
 // Guards against a file that is read while it is replaced: what can't be decoded is read again for a second.
-sched::Task<std::optional<setup::Station>> readAgain(sched::Scheduler &sched, const std::string &path,
-                                                     log::Log &log) {
+sched::Task<std::optional<bootstrap::BootstrapConfig>> readAgain(sched::Scheduler &sched,
+                                                                 const std::string &path, log::Log &log) {
   std::string why;
   for (int tries = 0; tries < 10; ++tries) {
-    if (tries > 0) co_await sched.sleep(kSec / 10);
+    if (tries > 0) co_await sched.sleep(kSecond / 10);
     try {
-      co_return setup::readStation(setup::readFile(path));
+      co_return bootstrap::readStation(bootstrap::readFile(path));
     } catch (const std::exception &e) {
       why = e.what();
     }
@@ -67,32 +67,32 @@
   co_return std::nullopt;
 }
 
-// What a running marshal takes up: where discovery, the platform and the servers of names are, and log
+// What a running instance takes up: where discovery, the platform and the servers of names are, and log
 // levels.
 struct Movable {
   const Paths &paths;
-  const setup::Station &started;
-  const setup::Installation &installed;
-  catalog::Watch &watch;
-  platform::Desk &desk;
-  names::Names *names; // where names are followed
+  const bootstrap::BootstrapConfig &started;
+  const settings::Settings &installed;
+  discovery::EndpointWatch &watch;
+  rollout::RolloutClient &desk;
+  dns_discovery::DnsDiscovery *names; // where names are followed
   log::Logs &logs;
 };
 
 // SIGHUP; one that comes while an earlier one is heeded is not forgotten.
 struct Wish {
   bool open = false;
-  sched::Signal made;
+  sched::Event made;
 };
 
 // The installation's settings, if they are whole.
-void takeUpInstallation(const Movable &parts, const setup::Station &station, log::Log &log) {
+void takeUpInstallation(const Movable &parts, const bootstrap::BootstrapConfig &station, log::Log &log) {
   if (parts.paths.settings.empty()) return;
-  const auto read = setup::readInstallation(setup::readFile(parts.paths.settings), station.zones);
+  const auto read = settings::readSettings(bootstrap::readFile(parts.paths.settings), station.zones);
   if (!read.faults.empty())
     return log.error("the new settings are not taken up",
-                     {{"why", setup::text(parts.paths.settings, read.faults.front())}});
-  const auto rest = setup::needsRestart(parts.installed, read.installation);
+                     {{"why", settings::text(parts.paths.settings, read.faults.front())}});
+  const auto rest = settings::needsRestart(parts.installed, read.installation);
   if (!rest.empty()) log.warning("needs a restart to take up", {{"fields", rest}});
   if (!parts.paths.logLevels) parts.logs.take(read.installation.levels);
   if (parts.names != nullptr) parts.names->serversMoved(read.installation.naming.servers);
@@ -104,7 +104,7 @@
     wish.open = false;
     const auto station = co_await readAgain(sched, parts.paths.configuration, log);
     if (!station) continue;
-    const auto rest = setup::needsRestart(parts.started, *station);
+    const auto rest = bootstrap::needsRestart(parts.started, *station);
     if (!rest.empty()) log.warning("needs a restart to take up", {{"fields", rest}});
     parts.watch.moveTo(station->discovery);
     parts.desk.moveTo(station->platform);
@@ -118,8 +118,8 @@
   }
 }
 
-sched::Task<> heedSignals(sched::Scheduler &sched, net::Socket &signals, clients::Door &door,
-                          fleet::Fleet *fleet, Wish &wish, log::Log &log) {
+sched::Task<> heedSignals(sched::Scheduler &sched, net::Socket &signals, downstream::Listener &door,
+                          cluster::ClusterMember *fleet, Wish &wish, log::Log &log) {
   for (;;) {
     signalfd_siginfo info{};
     const auto got = read(signals.fd(), &info, sizeof info);
@@ -133,7 +133,8 @@
     }
   }
   log.info("asked to end: answers what it has taken");
-  if (fleet != nullptr) co_await fleet->close(); // first: its jobs' tries need what the door's end may take
+  if (fleet != nullptr)
+    co_await fleet->close(); // first: its jobs' attempts need what the door's end may take
   co_await door.close();
   log.info("ended");
   sched.halt();
@@ -141,28 +142,29 @@
 
 // Name records, where the installation follows any.
 struct NamesPart {
-  NamesPart(sched::Scheduler &sched, net::Descriptors &budget, Marshal &marshal,
-            const setup::Station &station, const setup::Installation &installation, log::Log log)
+  NamesPart(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
+            const bootstrap::BootstrapConfig &station, const settings::Settings &installation, log::Log log)
       : counters(registry),
-        sources(
-            installation.naming.prudence, installation.naming.resolution.staleMost, station.deployment.zone,
-            subset::Subset(station.deployment.marshals, station.deployment.me, installation.naming.subset)),
+        sources(installation.naming.prudence, installation.naming.resolution.staleMost,
+                station.deployment.zone,
+                subsetting::Subset(station.deployment.instanceCount, station.deployment.ownIndex,
+                                   installation.naming.subset)),
         names(sched, budget, sources, installation.naming, station.seed + 2, std::move(log), counters) {
-    marshal.follow(sources);
-    names.changed = [&marshal] { marshal.namesChanged(); };
+    router.mergeWith(sources);
+    names.changed = [&router] { router.onMergeChanged(); };
     if (!installation.stateFolder.empty())
       names.keepIn(installation.stateFolder + "/names", {"names", station.name}, unixAtZero(sched.now()));
   }
   prometheus::Registry registry;
-  names::Counters counters;
-  sources::Sources sources;
-  names::Names names;
+  dns_discovery::DnsMetrics counters;
+  endpoint_merge::EndpointMerge sources;
+  dns_discovery::DnsDiscovery names;
 };
 
-setup::Installation readInstallation(const Paths &paths, const setup::Station &station) {
+settings::Settings readInstallation(const Paths &paths, const bootstrap::BootstrapConfig &station) {
   if (paths.settings.empty()) return {};
-  auto read = setup::readInstallation(setup::readFile(paths.settings), station.zones);
-  if (!read.faults.empty()) throw setup::SetupError(setup::text(paths.settings, read.faults.front()));
+  auto read = settings::readSettings(bootstrap::readFile(paths.settings), station.zones);
+  if (!read.faults.empty()) throw bootstrap::SetupError(settings::text(paths.settings, read.faults.front()));
   return std::move(read.installation);
 }
 
@@ -170,7 +172,7 @@
 
 void serve(const Paths &paths) {
   const int hadSignals = signalDescriptor(); // before the configuration is read, and before any thread begins
-  const auto station = setup::readStation(setup::readFile(paths.configuration));
+  const auto station = bootstrap::readStation(bootstrap::readFile(paths.configuration));
   auto installation = readInstallation(paths, station);
   if (paths.logLevels) installation.levels = *paths.logLevels;
   if (paths.logForm) installation.form = *paths.logForm;
@@ -180,46 +182,47 @@
   sched::Scheduler sched;
   sched.onThrow = [&](const char *what) { log.error("a coroutine ended early", {{"what", what}}); };
   constexpr int kOwn = 8; // standard streams, epoll, and what the library opens
-  net::Descriptors budget(descriptorsAllowed(station.descriptors) - kOwn);
-  Marshal marshal(sched, station.deployment, station.seed, guardLog);
-  catalog::Watch watch(sched, budget, marshal, catalogLog, station.discovery, station.zones,
-                       unixAtZero(sched.now()));
-  platform::Desk desk(sched, budget, marshal, platformLog, station.platform, station.routes,
-                      station.callWithin);
-  nodes::Pool pool(sched, budget, nodesLog, station.connectWithin, station.idleAtMost, station.loadNames,
-                   station.memory / 8); // what a large answer takes in all is below three times it
+  net::DescriptorBudget budget(descriptorsAllowed(station.descriptors) - kOwn);
+  Router router(sched, station.deployment, station.seed, guardLog);
+  discovery::EndpointWatch watch(sched, budget, router, catalogLog, station.discovery, station.zones,
+                                 unixAtZero(sched.now()));
+  rollout::RolloutClient desk(sched, budget, router, platformLog, station.platform, station.routes,
+                              station.callWithin);
+  upstream::ConnectionPool pool(
+      sched, budget, nodesLog, station.connectWithin, station.idleAtMost, station.loadNames,
+      station.memory / 8); // what a large answer takes in all is below three times it
   std::unique_ptr<NamesPart> names;
   if (!installation.naming.sets.empty())
-    names = std::make_unique<NamesPart>(sched, budget, marshal, station, installation, logs.of("names"));
-  std::unique_ptr<metrics::Endpoint> endpoint;
+    names = std::make_unique<NamesPart>(sched, budget, router, station, installation, logs.of("names"));
+  std::unique_ptr<admin::MetricsServer> endpoint;
   prometheus::Registry none;
   if (installation.metrics)
-    endpoint = std::make_unique<metrics::Endpoint>(sched, budget, names ? names->registry : none,
-                                                   *installation.metrics);
+    endpoint = std::make_unique<admin::MetricsServer>(sched, budget, names ? names->registry : none,
+                                                      *installation.metrics);
   net::Socket signals(sched, budget, hadSignals);
-  std::unique_ptr<peers::Datagrams> datagrams;
-  if (station.deployment.peers)
-    datagrams = std::make_unique<peers::Datagrams>(sched, budget, marshal, station.peerListen, station.peers,
-                                                   station.peersAll);
+  std::unique_ptr<peers::PeerTransport> datagrams;
+  if (station.deployment.hasPeers)
+    datagrams = std::make_unique<peers::PeerTransport>(sched, budget, router, station.peerListen,
+                                                       station.peers, station.peersAll);
   if (station.known.kind != json::Value::null && !watch.start(station.known))
-    throw setup::SetupError("the configuration's 'known' is no list of nodes");
-  if (const auto news = platform::readNews(station.news))
-    marshal.news(*news);
+    throw bootstrap::SetupError("the configuration's 'known' is no list of nodes");
+  if (const auto news = rollout::readRolloutState(station.news))
+    router.onRolloutState(*news);
   else if (station.news.kind != json::Value::null)
-    throw setup::SetupError("the configuration's 'platform.news' can't be read");
+    throw bootstrap::SetupError("the configuration's 'platform.news' can't be read");
 
-  std::unique_ptr<fleet::Fleet> fleet;
+  std::unique_ptr<cluster::ClusterMember> fleet;
   if (installation.fleet) {
-    fleet::Routes routes{station.routes, {}};
-    for (const auto &r : station.deployment.routes) routes.kinds.push_back(r.repeat);
-    fleet = std::make_unique<fleet::Fleet>(sched, budget, marshal, pool, *installation.fleet,
-                                           std::move(routes), station.routeTimeouts, unixAtZero(sched.now()),
-                                           station.seed + 5, logs.of("fleet"));
+    cluster::Routes routes{station.routes, {}};
+    for (const auto &r : station.deployment.routes) routes.kinds.push_back(r.idempotency);
+    fleet = std::make_unique<cluster::ClusterMember>(
+        sched, budget, router, pool, *installation.fleet, std::move(routes), station.routeTimeouts,
+        unixAtZero(sched.now()), station.seed + 5, logs.of("fleet"));
   }
-  clients::Door door(sched, budget, marshal, pool, clientsLog, station.listen, station.routes,
-                     station.routeTimeouts,
-                     station.memory / 8); // what a large req takes in all is below four times it
-  sched.spawn(marshal.tick());
+  downstream::Listener door(sched, budget, router, pool, clientsLog, station.listen, station.routes,
+                            station.routeTimeouts,
+                            station.memory / 8); // what a large request takes in all is below four times it
+  sched.spawn(router.run());
   sched.spawn(watch.run());
   sched.spawn(desk.keepOpen());
   sched.spawn(desk.sendVotes());
@@ -248,4 +251,4 @@
   sched.endAll(); // before what the coroutines refer to
 }
 
-} // namespace myrtlehead::program
+} // namespace myrtlehead::app
--- a/src/program/serve.h
+++ b/src/app/serve.h
@@ -1,4 +1,4 @@
-// One marshal in service: wires the parts together and serves until SIGTERM or SIGINT.
+// One instance in service: wires the parts together and serves until SIGTERM or SIGINT.
 #pragma once
 
 #include "base/log/log.h"
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-namespace myrtlehead::program {
+namespace myrtlehead::app {
 
 struct Paths {
   std::string configuration;            // the platform's JSON
@@ -18,4 +18,4 @@
 // Throws what keeps it from serving (SetupError, std::system_error), with a sentence for whoever started it.
 void serve(const Paths &paths);
 
-} // namespace myrtlehead::program
+} // namespace myrtlehead::app
--- a/src/program/installation/fleet.cpp
+++ b/src/app/settings/cluster_settings.cpp
@@ -1,6 +1,6 @@
-#include "program/installation/reader.h"
+#include "app/settings/table_reader.h"
 
-namespace myrtlehead::setup {
+namespace myrtlehead::settings {
 
 namespace {
 
@@ -12,9 +12,9 @@
   });
 }
 
-void readMember(const toml::table &in, const std::string &path, fleet::Membership &out,
+void readMember(const toml::table &in, const std::string &path, cluster::Membership &out,
                 std::vector<Fault> &faults) {
-  fleet::Member member;
+  cluster::Member member;
   bool placed = false;
   {
     Reader r(in, path, faults);
@@ -39,8 +39,8 @@
 
 } // namespace
 
-void readFleet(const toml::table &in, Installation &out, std::vector<Fault> &faults) {
-  fleet::Membership m;
+void readFleet(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
+  cluster::Membership m;
   std::string name;
   bool listens = false;
   const int line = static_cast<int>(in.source().begin.line);
@@ -59,12 +59,12 @@
       m.folder = text;
       return !text.empty();
     });
-    r.duration("claim", 500 * kMs, 600 * kSec, m.terms.claimFor);
-    r.duration("drift", 0, 60 * kSec, m.terms.drift);
-    r.duration("grace", 0, 600 * kSec, m.terms.grace);
-    r.duration("keep_for", 60 * kSec, 30 * kDay, m.terms.keepFor);
-    r.duration("pause_first", kMs, 60 * kSec, m.terms.pauseFirst);
-    r.duration("pause_most", kMs, 3600 * kSec, m.terms.pauseMost);
+    r.duration("claim", 500 * kMillisecond, 600 * kSecond, m.terms.claimFor);
+    r.duration("drift", 0, 60 * kSecond, m.terms.drift);
+    r.duration("grace", 0, 600 * kSecond, m.terms.grace);
+    r.duration("keep_for", 60 * kSecond, 30 * kDay, m.terms.keepFor);
+    r.duration("pause_first", kMillisecond, 60 * kSecond, m.terms.pauseFirst);
+    r.duration("pause_most", kMillisecond, 3600 * kSecond, m.terms.pauseMost);
     r.whole("starts", 1, 100, m.terms.mostStarts);
     r.whole("queue", 1, 100'000, m.queue);
     r.whole("slots", 0, 1000, m.slots);
@@ -85,12 +85,12 @@
     faults.push_back({line, "fleet.member", "expected [[fleet.member]] tables, one for each member"});
   if (m.terms.drift >= m.terms.claimFor)
     faults.push_back({line, "fleet.drift", "is not below claim: no claim could ever be used"});
-  const auto me = std::ranges::find(m.members, name, &fleet::Member::name);
+  const auto me = std::ranges::find(m.members, name, &cluster::Member::name);
   if (me == m.members.end())
     faults.push_back(
         {line, "fleet.name", "expected the name of one of [[fleet.member]], found '" + name + "'"});
-  m.me = static_cast<std::uint32_t>(me - m.members.begin());
+  m.ownIndex = static_cast<std::uint32_t>(me - m.members.begin());
   out.fleet = std::move(m);
 }
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::settings
--- a/src/program/installation/installation.cpp
+++ b/src/app/settings/settings.cpp
@@ -1,14 +1,14 @@
-#include "program/installation/reader.h"
+#include "app/settings/table_reader.h"
 
 #include <charconv>
 
-namespace myrtlehead::setup {
+namespace myrtlehead::settings {
 
 namespace {
 
 constexpr std::size_t kMostText = 1 << 20, kMostSets = 64, kMostServers = 16;
 
-void readLog(const toml::table &in, Installation &out, std::vector<Fault> &faults) {
+void readLog(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
   Reader r(in, "log.", faults);
   r.word("level", "debug, info, warning or error, or one for a package such as \"info,nodes=debug\"",
          [&](const std::string &text) {
@@ -22,7 +22,7 @@
   });
 }
 
-void readMetrics(const toml::table &in, Installation &out, std::vector<Fault> &faults) {
+void readMetrics(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
   Reader r(in, "metrics.", faults);
   r.word("listen", "an address and port such as \"127.0.0.1:9464\"", [&](const std::string &text) {
     out.metrics = net::parseAddress(text);
@@ -30,7 +30,7 @@
   });
 }
 
-void readState(const toml::table &in, Installation &out, std::vector<Fault> &faults) {
+void readState(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
   Reader r(in, "state.", faults);
   r.word("folder", "the path of a folder", [&](const std::string &text) {
     out.stateFolder = text;
@@ -50,8 +50,8 @@
 }
 
 void readSet(const toml::table &in, const std::string &path, const std::vector<std::string> &zones,
-             names::Naming &out, std::vector<Fault> &faults) {
-  names::NamedSet set;
+             dns_discovery::DnsSettings &out, std::vector<Fault> &faults) {
+  dns_discovery::NamedSet set;
   {
     Reader r(in, path, faults);
     r.word("name", "a domain name such as \"_pg._tcp.maps.example\"", [&](const std::string &text) {
@@ -70,7 +70,7 @@
   out.sets.push_back(std::move(set));
 }
 
-void readSets(Reader &r, const std::vector<std::string> &zones, names::Naming &out,
+void readSets(Reader &r, const std::vector<std::string> &zones, dns_discovery::DnsSettings &out,
               std::vector<Fault> &faults) {
   const auto *node = r.find("set");
   if (node == nullptr) return;
@@ -81,7 +81,7 @@
     readSet(*sets->get_as<toml::table>(i), "names.set[" + std::to_string(i) + "].", zones, out, faults);
 }
 
-void readServers(Reader &r, names::Naming &out) {
+void readServers(Reader &r, dns_discovery::DnsSettings &out) {
   const auto *node = r.find("servers");
   if (node == nullptr) return;
   const auto *servers = node->as_array();
@@ -97,18 +97,18 @@
   }
 }
 
-void readNames(const toml::table &in, const std::vector<std::string> &zones, Installation &out,
+void readNames(const toml::table &in, const std::vector<std::string> &zones, Settings &out,
                std::vector<Fault> &faults) {
   auto &naming = out.naming;
   Reader r(in, "names.", faults);
   readServers(r, naming);
   readSets(r, zones, naming, faults);
-  r.duration("start_spread", 0, 600 * kSec, naming.startSpread);
-  r.duration("least_lifetime", 100 * kMs, kDay, naming.resolution.floor);
-  r.duration("most_lifetime", kSec, 7 * kDay, naming.resolution.ceiling);
+  r.duration("start_spread", 0, 600 * kSecond, naming.startSpread);
+  r.duration("least_lifetime", 100 * kMillisecond, kDay, naming.resolution.floor);
+  r.duration("most_lifetime", kSecond, 7 * kDay, naming.resolution.ceiling);
   r.duration("stale_most", 0, 30 * kDay, naming.resolution.staleMost);
-  r.duration("loss_hold", 0, 3600 * kSec, naming.prudence.lossHold);
-  r.duration("departed_for", kSec, 7 * kDay, naming.prudence.departedFor);
+  r.duration("loss_hold", 0, 3600 * kSecond, naming.prudence.lossHold);
+  r.duration("departed_for", kSecond, 7 * kDay, naming.prudence.departedFor);
   r.whole("subset", 0, 20'000, naming.subset);
   const int line = static_cast<int>(in.source().begin.line);
   if (naming.resolution.floor > naming.resolution.ceiling)
@@ -119,7 +119,7 @@
 
 } // namespace
 
-std::optional<Ns> parseDuration(std::string_view text) {
+std::optional<Nanoseconds> parseDuration(std::string_view text) {
   double value = 0;
   const auto r = std::from_chars(text.data(), text.data() + text.size(), value);
   if (r.ec != std::errc{} || value < 0 || !std::isfinite(value)) return std::nullopt;
@@ -136,8 +136,8 @@
          (fault.key.empty() ? "" : fault.key + ": ") + fault.what;
 }
 
-InstallationRead readInstallation(std::string_view text, const std::vector<std::string> &zones) {
-  InstallationRead out;
+SettingsResult readSettings(std::string_view text, const std::vector<std::string> &zones) {
+  SettingsResult out;
   if (text.size() > kMostText) {
     out.faults.push_back({0, "", "expected at most 1 MiB, found " + std::to_string(text.size()) + " bytes"});
     return out;
@@ -158,7 +158,7 @@
   return out;
 }
 
-std::string needsRestart(const Installation &from, const Installation &to) {
+std::string needsRestart(const Settings &from, const Settings &to) {
   std::string out;
   const auto differs = [&](bool is, const char *key) {
     if (is) out += (out.empty() ? "" : ", ") + std::string(key);
@@ -174,4 +174,4 @@
   return out;
 }
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::settings
--- a/src/program/installation/installation.h
+++ b/src/app/settings/settings.h
@@ -3,23 +3,23 @@
 #pragma once
 
 #include "base/log/log.h"
-#include "fleet/membership.h"
-#include "follow/names/naming.h"
+#include "cluster/membership.h"
+#include "control/dns/settings.h"
 
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace myrtlehead::setup {
+namespace myrtlehead::settings {
 
-struct Installation {
+struct Settings {
   log::Levels levels;
   log::Form form = log::Form::text;
   std::optional<net::Address> metrics; // where they are asked for
   std::string stateFolder;             // "": nothing is kept
-  names::Naming naming;
-  std::optional<fleet::Membership> fleet; // none: no thread, socket or file of it exists
+  dns_discovery::DnsSettings naming;
+  std::optional<cluster::Membership> fleet; // none: no thread, socket or file of it exists
 };
 
 struct Fault {
@@ -29,17 +29,17 @@
 };
 std::string text(const std::string &file, const Fault &fault); // "FILE:LINE: KEY: WHAT"
 
-struct InstallationRead {
-  Installation installation; // of use only where there is no fault
+struct SettingsResult {
+  Settings installation; // of use only where there is no fault
   std::vector<Fault> faults;
 };
 // `zones`: the deployment's, which a set's zone must name; empty: any is taken for unknown.
-InstallationRead readInstallation(std::string_view text, const std::vector<std::string> &zones);
+SettingsResult readSettings(std::string_view text, const std::vector<std::string> &zones);
 
-// The keys that differ and that a running marshal can't take up; "" for none.
-std::string needsRestart(const Installation &from, const Installation &to);
+// The keys that differ and that a running instance can't take up; "" for none.
+std::string needsRestart(const Settings &from, const Settings &to);
 
 // "250ms", "1.5s", "10m", "1h", "3d" in ns; nullopt: not a duration, or one beyond 100 years.
-std::optional<sched::Ns> parseDuration(std::string_view text);
+std::optional<sched::Nanoseconds> parseDuration(std::string_view text);
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::settings
--- a/src/program/installation/reader.h
+++ b/src/app/settings/table_reader.h
@@ -2,7 +2,7 @@
 // fault.
 #pragma once
 
-#include "program/installation/installation.h"
+#include "app/settings/settings.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,10 +11,10 @@
 #define TOML_HEADER_ONLY 0
 #include <toml++/toml.h>
 
-namespace myrtlehead::setup {
+namespace myrtlehead::settings {
 
-using sched::Ns;
-constexpr Ns kDay = 86'400 * kSec;
+using sched::Nanoseconds;
+constexpr Nanoseconds kDay = 86'400 * kSecond;
 
 inline std::string shown(const toml::node &node) {
   std::ostringstream out;
@@ -71,11 +71,11 @@
     const auto value = node->value_exact<std::string>();
     if (!value || !parse(*value)) fault(*node, key, expected);
   }
-  void duration(const char *key, Ns least, Ns most, Ns &out) {
-    const auto told = [](Ns t) {
+  void duration(const char *key, Nanoseconds least, Nanoseconds most, Nanoseconds &out) {
+    const auto told = [](Nanoseconds t) {
       return t % kDay == 0 && t > 0 ? std::to_string(t / kDay) + "d"
-             : t % kSec == 0        ? std::to_string(t / kSec) + "s"
-                                    : std::to_string(t / kMs) + "ms";
+             : t % kSecond == 0     ? std::to_string(t / kSecond) + "s"
+                                    : std::to_string(t / kMillisecond) + "ms";
     };
     const auto expected = "a duration from " + told(least) + " to " + told(most) + " such as \"250ms\"";
     word(key, expected, [&](const std::string &text) {
@@ -107,6 +107,6 @@
   std::vector<std::string> known_;
 };
 
-void readFleet(const toml::table &in, Installation &out, std::vector<Fault> &faults);
+void readFleet(const toml::table &in, Settings &out, std::vector<Fault> &faults);
 
-} // namespace myrtlehead::setup
+} // namespace myrtlehead::settings
--- a/src/base/calls/line.h
+++ b/src/base/http_client/persistent_connection.h
@@ -7,21 +7,21 @@
 
 #include <deque>
 
-namespace myrtlehead::calls {
+namespace myrtlehead::http_client {
 
-struct Answered {
+struct Response {
   int status = 0;
   std::string body;
 };
 
-class Line {
+class PersistentConnection {
 public:
-  Line(net::Scheduler &sched, net::Descriptors &budget, net::Address to)
+  PersistentConnection(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address to)
       : sched_(sched), budget_(budget), to_(to) {}
 
   // Where it fails, `reach` says how far the call had come.
-  net::Task<net::Result<Answered>> call(std::string request, net::Until until);
-  // Keeps a connection open for as long as the marshal lives: one that is there when the other side stands
+  net::Task<net::Result<Response>> call(std::string request, net::Deadline until);
+  // Keeps a connection open for as long as the instance lives: one that is there when the other side stands
   // still takes calls that a new one can't carry.
   net::Task<> keepOpen();
   // From now on calls go there; those that are out are still answered where they were written.
@@ -31,10 +31,10 @@
 
 private:
   struct Pending {
-    sched::Signal over;
+    sched::Event over;
     bool ended = false;
     net::Failure failure;
-    Answered answer;
+    Response answer;
   };
   struct Connection {
     std::unique_ptr<net::Socket> socket;
@@ -42,18 +42,19 @@
     bool ended = false, overdue = false; // overdue: a call on it was given up unanswered
     bool left = false;                   // replaced: it ends with its last answer
   };
-  net::Task<net::Cause> open(net::Until until);
+  net::Task<net::ErrorCode> open(net::Deadline until);
   void leave();
   net::Task<> readAnswers(std::shared_ptr<Connection> c);
-  net::Task<net::Cause> readAnswer(Connection &c, net::Buffer &buffer, Answered &out);
+  net::Task<net::ErrorCode> readAnswer(Connection &c, net::Buffer &buffer, Response &out);
   bool isOpen() const { return connection_ != nullptr && !connection_->ended; }
 
   net::Scheduler &sched_;
-  net::Descriptors &budget_;
+  net::DescriptorBudget &budget_;
   net::Address to_;
   std::shared_ptr<Connection> connection_;
-  sched::Signal closed_;
-  std::shared_ptr<sched::Stop> moved_ = std::make_shared<sched::Stop>(); // ends an opening at the old address
+  sched::Event closed_;
+  std::shared_ptr<sched::CancellationToken> moved_ =
+      std::make_shared<sched::CancellationToken>(); // ends an opening at the old address
 };
 
-} // namespace myrtlehead::calls
+} // namespace myrtlehead::http_client
--- a/src/base/log/log.cpp
+++ b/src/base/log/log.cpp
@@ -67,7 +67,7 @@
   }
 }
 
-// Passes whole lines to a descriptor, and drops them (counted) where the reader is behind: the marshal must
+// Passes whole lines to a descriptor, and drops them (counted) where the reader is behind: the instance must
 // not stand still with it.
 class Patient final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
--- a/src/base/log/log.h
+++ b/src/base/log/log.h
@@ -26,7 +26,7 @@
   std::vector<std::pair<std::string, Level>> byPackage;
   Level of(std::string_view package) const;
 };
-// "info" or "info,nodes=debug,names=warning"; nullopt where a word is no level.
+// "info" or "info,endpoints=debug,names=warning"; nullopt where a word is no level.
 std::optional<Levels> parseLevels(std::string_view text);
 
 // A figure or a word of a line. Holds views: it lives as long as the call that it is given to.
--- a/src/base/net/descriptors.h
+++ b/src/base/net/descriptor_budget.h
@@ -1,4 +1,4 @@
-// The budget of open descriptors. Clients may not take the last of them: nodes and control connections go
+// The budget of open descriptors. Clients may not take the last of them: endpoints and control connections go
 // first.
 #pragma once
 
@@ -6,9 +6,9 @@
 
 namespace myrtlehead::net {
 
-class Descriptors {
+class DescriptorBudget {
 public:
-  explicit Descriptors(int most) : most_(most) {}
+  explicit DescriptorBudget(int most) : most_(most) {}
   int left() const { return most_ - used_; }
   int most() const { return most_; }
   void take() { ++used_; }
@@ -16,7 +16,7 @@
     --used_;
     freed.notify();
   }
-  sched::Signal freed;
+  sched::Event freed;
 
 private:
   int most_, used_ = 0;
--- a/src/base/net/places.h
+++ b/src/base/net/memory_budget.h
@@ -7,37 +7,38 @@
 
 namespace myrtlehead::net {
 
-class Places {
+class MemoryBudget {
 public:
-  explicit Places(std::size_t bytes) : left_(bytes), most_(bytes) {}
+  explicit MemoryBudget(std::size_t bytes) : left_(bytes), most_(bytes) {}
   std::size_t most() const { return most_; }
   std::size_t left() const { return left_; }
 
 private:
-  friend class Place;
+  friend class MemoryReservation;
   std::size_t left_, most_;
-  sched::Signal freed_;
+  sched::Event freed_;
 };
 
 // What one message holds of it, until it goes.
-class Place {
+class MemoryReservation {
 public:
-  Place() = default;
-  Place(Place &&other) noexcept : of_(other.of_), bytes_(std::exchange(other.bytes_, 0)) {}
-  Place &operator=(Place &&other) noexcept {
+  MemoryReservation() = default;
+  MemoryReservation(MemoryReservation &&other) noexcept
+      : of_(other.of_), bytes_(std::exchange(other.bytes_, 0)) {}
+  MemoryReservation &operator=(MemoryReservation &&other) noexcept {
     std::swap(of_, other.of_);
     std::swap(bytes_, other.bytes_);
     return *this;
   }
-  ~Place() { leave(); }
+  ~MemoryReservation() { leave(); }
 
   // False: it was not to be had in time, or never will be.
-  static sched::Task<bool> take(sched::Scheduler &sched, Places &of, std::size_t bytes, sched::Until until,
-                                Place &out) {
+  static sched::Task<bool> take(sched::Scheduler &sched, MemoryBudget &of, std::size_t bytes,
+                                sched::Deadline until, MemoryReservation &out) {
     if (bytes > of.most_) co_return false;
     while (of.left_ < bytes) {
       const auto woken = co_await sched.wait(of.freed_, until);
-      if (woken != sched::Woken::signalled) co_return false;
+      if (woken != sched::WakeReason::notified) co_return false;
     }
     of.left_ -= bytes;
     out.leave();
@@ -53,7 +54,7 @@
   bool held() const { return bytes_ > 0; }
 
 private:
-  Places *of_ = nullptr;
+  MemoryBudget *of_ = nullptr;
   std::size_t bytes_ = 0;
 };
 
--- a/src/base/net/result.h
+++ b/src/base/net/result.h
@@ -6,20 +6,30 @@
 
 namespace myrtlehead::net {
 
-enum class Cause { none, timedOut, stopped, ended, broken, refused, tooBig, unreadable, noDescriptor };
+enum class ErrorCode {
+  none,
+  timedOut,
+  cancelled,
+  closedByPeer,
+  connectionLost,
+  refused,
+  tooLarge,
+  unreadable,
+  noDescriptorLeft
+};
 
 // How far an attempt had come when it failed.
-enum class Reach { unconnected, partlyWritten, writtenWhole, answering };
+enum class SendProgress { notConnected, partlyWritten, fullyWritten, responseStarted };
 
-inline const char *word(Cause c) {
+inline const char *word(ErrorCode c) {
   constexpr const char *kWords[] = {"none",    "timed out", "stopped",    "ended by the other side", "broken",
                                     "refused", "too big",   "unreadable", "no descriptor left"};
   return kWords[static_cast<int>(c)];
 }
 
 struct Failure {
-  Cause cause = Cause::none;
-  Reach reach = Reach::unconnected;
+  ErrorCode cause = ErrorCode::none;
+  SendProgress progress = SendProgress::notConnected;
 };
 
 template <class T> class [[nodiscard]] Result {
--- a/src/base/net/socket.cpp
+++ b/src/base/net/socket.cpp
@@ -16,10 +16,12 @@
 
 constexpr std::size_t kReadSize = 4096;
 
-Cause causeOf(int error) { return error == ECONNREFUSED ? Cause::refused : Cause::broken; }
+ErrorCode causeOf(int error) {
+  return error == ECONNREFUSED ? ErrorCode::refused : ErrorCode::connectionLost;
+}
 
-Cause causeOf(sched::Woken woken) {
-  return woken == sched::Woken::stopped ? Cause::stopped : Cause::timedOut;
+ErrorCode causeOf(sched::WakeReason woken) {
+  return woken == sched::WakeReason::cancelled ? ErrorCode::cancelled : ErrorCode::timedOut;
 }
 
 void noDelay(int fd) {
@@ -33,7 +35,7 @@
   throw std::system_error(error, std::generic_category(), what);
 }
 
-std::unique_ptr<Socket> bound(Scheduler &sched, Descriptors &budget, Address at, int kind) {
+std::unique_ptr<Socket> bound(Scheduler &sched, DescriptorBudget &budget, Address at, int kind) {
   const int fd = socket(at.at.sin6_family, kind | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) fail(fd, "socket");
   const int on = 1;
@@ -82,7 +84,7 @@
   return host + port;
 }
 
-Socket::Socket(Scheduler &sched, Descriptors &budget, int fd) : sched_(sched), budget_(budget), fd_(fd) {
+Socket::Socket(Scheduler &sched, DescriptorBudget &budget, int fd) : sched_(sched), budget_(budget), fd_(fd) {
   int kind = 0;
   socklen_t size = sizeof kind;
   stream_ = getsockopt(fd, SOL_SOCKET, SO_TYPE, &kind, &size) == 0 && kind == SOCK_STREAM;
@@ -96,52 +98,52 @@
   budget_.give();
 }
 
-void Socket::happened(std::uint32_t events) {
+void Socket::onEvents(std::uint32_t events) {
   const bool over = (events & (EPOLLHUP | EPOLLERR | EPOLLRDHUP)) != 0;
   if (over) hungUp_ = true;
   if (over || (events & EPOLLIN) != 0) mayRead_ = true;
   if (over || (events & EPOLLIN) != 0) readable_.notify();
   if (over || (events & EPOLLOUT) != 0) writable_.notify();
-  if (over && onHangUp_ != nullptr) onHangUp_->request();
+  if (over && onHangUp_ != nullptr) onHangUp_->cancel();
 }
 
-void Socket::onHangUp(sched::Stop *stop) {
+void Socket::onHangUp(sched::CancellationToken *stop) {
   onHangUp_ = stop;
-  if (hungUp_ && stop != nullptr) stop->request();
+  if (hungUp_ && stop != nullptr) stop->cancel();
 }
 
 void Socket::endWriting() { shutdown(fd_, SHUT_WR); }
 
 void Socket::shutDown() { shutdown(fd_, SHUT_RDWR); }
 
-Cause Socket::readNow(Buffer &into) {
+ErrorCode Socket::readNow(Buffer &into) {
   const auto room = into.room(kReadSize);
   const auto n = recv(fd_, room.data(), room.size(), 0);
   const bool all = n < 0 ? errno == EAGAIN : stream_ && static_cast<std::size_t>(n) < room.size();
   if (all && !hungUp_) mayRead_ = false; // what comes from now on is an edge of its own
   if (n > 0) {
     into.filled(static_cast<std::size_t>(n));
-    return Cause::none;
+    return ErrorCode::none;
   }
-  if (n == 0) return Cause::ended;
-  return errno == EAGAIN || errno == EINTR ? Cause::timedOut : Cause::broken;
+  if (n == 0) return ErrorCode::closedByPeer;
+  return errno == EAGAIN || errno == EINTR ? ErrorCode::timedOut : ErrorCode::connectionLost;
 }
 
-Task<Cause> Socket::read(Buffer &into, Until until) {
+Task<ErrorCode> Socket::read(Buffer &into, Deadline until) {
   for (;;) {
-    const auto cause = mayRead_ ? readNow(into) : Cause::timedOut; // spares a call that finds nothing
-    if (cause != Cause::timedOut) co_return cause;
+    const auto cause = mayRead_ ? readNow(into) : ErrorCode::timedOut; // spares a call that finds nothing
+    if (cause != ErrorCode::timedOut) co_return cause;
     const auto woken = co_await sched_.wait(readable_, until);
-    if (woken != sched::Woken::signalled) co_return causeOf(woken);
+    if (woken != sched::WakeReason::notified) co_return causeOf(woken);
   }
 }
 
-Task<Cause> Socket::readable(Until until) {
+Task<ErrorCode> Socket::readable(Deadline until) {
   const auto woken = co_await sched_.wait(readable_, until);
-  co_return woken == sched::Woken::signalled ? Cause::none : causeOf(woken);
+  co_return woken == sched::WakeReason::notified ? ErrorCode::none : causeOf(woken);
 }
 
-Task<Cause> Socket::write(std::string_view bytes, Until until) {
+Task<ErrorCode> Socket::write(std::string_view bytes, Deadline until) {
   while (!bytes.empty()) {
     const auto n = send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n >= 0) {
@@ -149,11 +151,11 @@
       written_ += static_cast<std::size_t>(n);
       continue;
     }
-    if (errno != EAGAIN && errno != EINTR) co_return Cause::broken;
+    if (errno != EAGAIN && errno != EINTR) co_return ErrorCode::connectionLost;
     const auto woken = co_await sched_.wait(writable_, until);
-    if (woken != sched::Woken::signalled) co_return causeOf(woken);
+    if (woken != sched::WakeReason::notified) co_return causeOf(woken);
   }
-  co_return Cause::none;
+  co_return ErrorCode::none;
 }
 
 bool Socket::writeNow(std::string_view bytes) {
@@ -165,16 +167,16 @@
   return recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
-Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &sched, Descriptors &budget, Address to,
-                                              Until until) {
+Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &sched, DescriptorBudget &budget, Address to,
+                                              Deadline until) {
   const int fd = ::socket(to.at.sin6_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) co_return Failure{Cause::noDescriptor};
+  if (fd < 0) co_return Failure{ErrorCode::noDescriptorLeft};
   auto socket = std::make_unique<Socket>(sched, budget, fd);
   noDelay(fd);
   if (::connect(fd, to.raw(), to.size()) == 0) co_return std::move(socket);
   if (errno != EINPROGRESS) co_return Failure{causeOf(errno)};
   const auto woken = co_await sched.wait(socket->writable_, until);
-  if (woken != sched::Woken::signalled) co_return Failure{causeOf(woken)};
+  if (woken != sched::WakeReason::notified) co_return Failure{causeOf(woken)};
   int error = 0;
   socklen_t size = sizeof error;
   getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
@@ -182,15 +184,15 @@
   co_return std::move(socket);
 }
 
-std::unique_ptr<Socket> listenAt(Scheduler &sched, Descriptors &budget, Address at) {
+std::unique_ptr<Socket> listenAt(Scheduler &sched, DescriptorBudget &budget, Address at) {
   return bound(sched, budget, at, SOCK_STREAM);
 }
 
-std::unique_ptr<Socket> datagramsAt(Scheduler &sched, Descriptors &budget, Address at) {
+std::unique_ptr<Socket> datagramsAt(Scheduler &sched, DescriptorBudget &budget, Address at) {
   return bound(sched, budget, at, SOCK_DGRAM);
 }
 
-std::unique_ptr<Socket> datagramsTo(Scheduler &sched, Descriptors &budget, Address to) {
+std::unique_ptr<Socket> datagramsTo(Scheduler &sched, DescriptorBudget &budget, Address to) {
   const int fd = socket(to.at.sin6_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return nullptr;
   auto out = std::make_unique<Socket>(sched, budget, fd);
@@ -205,12 +207,14 @@
   return a;
 }
 
-Result<std::unique_ptr<Socket>> acceptNow(Scheduler &sched, Descriptors &budget, Socket &listener) {
+Result<std::unique_ptr<Socket>> acceptNow(Scheduler &sched, DescriptorBudget &budget, Socket &listener) {
   const int fd = accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) {
     const bool none = errno == EAGAIN;
     const bool full = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    return Failure{none ? Cause::timedOut : full ? Cause::noDescriptor : Cause::broken};
+    return Failure{none   ? ErrorCode::timedOut
+                   : full ? ErrorCode::noDescriptorLeft
+                          : ErrorCode::connectionLost};
   }
   noDelay(fd);
   return std::make_unique<Socket>(sched, budget, fd);
--- a/src/base/net/socket.h
+++ b/src/base/net/socket.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/net/buffer.h"
-#include "base/net/descriptors.h"
+#include "base/net/descriptor_budget.h"
 #include "base/net/result.h"
 #include "base/sched/scheduler.h"
 
@@ -13,10 +13,10 @@
 
 namespace myrtlehead::net {
 
-using sched::Ns;
+using sched::Deadline;
+using sched::Nanoseconds;
 using sched::Scheduler;
 using sched::Task;
-using sched::Until;
 
 // An IPv4 or IPv6 address with its port.
 struct Address {
@@ -33,50 +33,51 @@
 std::string text(const Address &address);
 
 // One descriptor, known to the scheduler and the budget for as long as it lives.
-class Socket final : private sched::Watched {
+class Socket final : private sched::DescriptorObserver {
 public:
-  Socket(Scheduler &sched, Descriptors &budget, int fd);
+  Socket(Scheduler &sched, DescriptorBudget &budget, int fd);
   ~Socket();
   Socket(const Socket &) = delete;
   Socket &operator=(const Socket &) = delete;
 
   // At least one byte more in `into`.
-  Task<Cause> read(Buffer &into, Until until);
-  Task<Cause> write(std::string_view bytes, Until until); // all of them
-  Task<Cause> readable(Until until);
-  Cause readNow(Buffer &into);           // timedOut: nothing there
+  Task<ErrorCode> read(Buffer &into, Deadline until);
+  Task<ErrorCode> write(std::string_view bytes, Deadline until); // all of them
+  Task<ErrorCode> readable(Deadline until);
+  ErrorCode readNow(Buffer &into);       // timedOut: nothing there
   bool writeNow(std::string_view bytes); // all of them, without waiting
   bool quiet() const;                    // open, with nothing to read
-  void onHangUp(sched::Stop *stop);
+  void onHangUp(sched::CancellationToken *stop);
   void endWriting();
   void shutDown(); // whoever reads or writes here sees its end
   int fd() const { return fd_; }
   std::size_t written() const { return written_; } // bytes in all
 
 private:
-  friend Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &, Descriptors &, Address, Until);
-  void happened(std::uint32_t events) override;
+  friend Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &, DescriptorBudget &, Address, Deadline);
+  void onEvents(std::uint32_t events) override;
   Scheduler &sched_;
-  Descriptors &budget_;
+  DescriptorBudget &budget_;
   int fd_;
-  sched::Signal readable_, writable_;
-  sched::Stop *onHangUp_ = nullptr;
+  sched::Event readable_, writable_;
+  sched::CancellationToken *onHangUp_ = nullptr;
   bool hungUp_ = false, stream_ = false;
   bool mayRead_ = true; // something has come since the last read that took all
   std::size_t written_ = 0;
 };
 
-Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &sched, Descriptors &budget, Address to, Until until);
+Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &sched, DescriptorBudget &budget, Address to,
+                                              Deadline until);
 
 // Throws std::system_error where the address can't be had: the program then can't serve.
-std::unique_ptr<Socket> listenAt(Scheduler &sched, Descriptors &budget, Address at);
-std::unique_ptr<Socket> datagramsAt(Scheduler &sched, Descriptors &budget, Address at);
+std::unique_ptr<Socket> listenAt(Scheduler &sched, DescriptorBudget &budget, Address at);
+std::unique_ptr<Socket> datagramsAt(Scheduler &sched, DescriptorBudget &budget, Address at);
 // A datagram socket that hears `to` alone, at a port that the system draws. nullptr: no descriptor, or no way
 // there.
-std::unique_ptr<Socket> datagramsTo(Scheduler &sched, Descriptors &budget, Address to);
+std::unique_ptr<Socket> datagramsTo(Scheduler &sched, DescriptorBudget &budget, Address to);
 Address localAddress(const Socket &socket);
 
 // A connection, or a descriptor shortage of the machine's (none there: timedOut).
-Result<std::unique_ptr<Socket>> acceptNow(Scheduler &sched, Descriptors &budget, Socket &listener);
+Result<std::unique_ptr<Socket>> acceptNow(Scheduler &sched, DescriptorBudget &budget, Socket &listener);
 
 } // namespace myrtlehead::net
--- a/src/base/sched/scheduler.cpp
+++ b/src/base/sched/scheduler.cpp
@@ -24,18 +24,18 @@
   ring.prev = this;
 }
 
-void Signal::notify() {
-  while (!ring_.alone()) ring_.next->wait->wake(Woken::signalled);
+void Event::notify() {
+  while (!ring_.alone()) ring_.next->wait->wake(WakeReason::notified);
 }
 
-void Stop::request() {
-  requested_ = true;
-  while (!ring_.alone()) ring_.next->wait->wake(Woken::stopped);
+void CancellationToken::cancel() {
+  isCancelled_ = true;
+  while (!ring_.alone()) ring_.next->wait->wake(WakeReason::cancelled);
 }
 
 void Wait::await_suspend(std::coroutine_handle<> h) {
   coroutine_ = h;
-  if (until_.stop != nullptr && until_.stop->requested()) return wake(Woken::stopped);
+  if (until_.stop != nullptr && until_.stop->isCancelled()) return wake(WakeReason::cancelled);
   if (until_.stop != nullptr) onStop_.join(until_.stop->ring_);
   if (signal_ != nullptr) onSignal_.join(signal_->ring_);
   if (until_.at != kNever) {
@@ -52,7 +52,7 @@
   timed_ = false;
 }
 
-void Wait::wake(Woken why) {
+void Wait::wake(WakeReason why) {
   leaveAll();
   woken_ = why;
   onReady_.join(sched_.ready_);
@@ -74,7 +74,7 @@
   if (clock_ == Clock::own) return;
   timespec t{};
   clock_gettime(CLOCK_MONOTONIC, &t);
-  now_ = t.tv_sec * Ns{1'000'000'000} + t.tv_nsec;
+  now_ = t.tv_sec * Nanoseconds{1'000'000'000} + t.tv_nsec;
 }
 
 Task<> Scheduler::root(Task<> task, std::list<Task<>>::iterator *self) {
@@ -95,7 +95,7 @@
   at->start();
 }
 
-void Scheduler::watch(int fd, Watched &watched) {
+void Scheduler::watch(int fd, DescriptorObserver &watched) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.ptr = &watched;
@@ -133,18 +133,19 @@
   if (!ready_.alone()) {
     timeout = 0;
   } else if (!timers_.empty()) {
-    const Ns left = std::clamp<Ns>(timers_.begin()->first - now_, 0, 60'000'000'000);
+    const Nanoseconds left = std::clamp<Nanoseconds>(timers_.begin()->first - now_, 0, 60'000'000'000);
     timeout = static_cast<int>((left + 999'999) / 1'000'000);
   }
   const int n = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
   readClock();
   for (int i = 0; i < n; ++i)
-    static_cast<Watched *>(events[static_cast<std::size_t>(i)].data.ptr)
-        ->happened(events[static_cast<std::size_t>(i)].events);
+    static_cast<DescriptorObserver *>(events[static_cast<std::size_t>(i)].data.ptr)
+        ->onEvents(events[static_cast<std::size_t>(i)].events);
 }
 
 void Scheduler::expire() {
-  while (!timers_.empty() && timers_.begin()->first <= now_) timers_.begin()->second->wake(Woken::timedOut);
+  while (!timers_.empty() && timers_.begin()->first <= now_)
+    timers_.begin()->second->wake(WakeReason::timedOut);
 }
 
 // One round: what becomes ready meanwhile waits for the next, behind the descriptors.
--- a/src/base/sched/scheduler.h
+++ b/src/base/sched/scheduler.h
@@ -12,8 +12,8 @@
 
 namespace myrtlehead::sched {
 
-using Ns = std::int64_t;
-constexpr Ns kNever = std::numeric_limits<Ns>::max();
+using Nanoseconds = std::int64_t;
+constexpr Nanoseconds kNever = std::numeric_limits<Nanoseconds>::max();
 
 class Wait;
 class Scheduler;
@@ -31,10 +31,10 @@
   Hook *prev = this, *next = this;
 };
 
-enum class Woken { signalled, timedOut, stopped };
+enum class WakeReason { notified, timedOut, cancelled };
 
 // Wakes all that wait for it at that moment.
-class Signal {
+class Event {
 public:
   void notify();
 
@@ -44,55 +44,55 @@
 };
 
 // A lasting request to stop what is done under it.
-class Stop {
+class CancellationToken {
 public:
-  void request();
-  bool requested() const { return requested_; }
+  void cancel();
+  bool isCancelled() const { return isCancelled_; }
 
 private:
   friend class Wait;
-  bool requested_ = false;
+  bool isCancelled_ = false;
   Hook ring_;
 };
 
 // How long an operation may take, and what may call it off.
-struct Until {
-  Ns at = kNever;
-  Stop *stop = nullptr;
+struct Deadline {
+  Nanoseconds at = kNever;
+  CancellationToken *stop = nullptr;
 };
 
 class Wait {
 public:
-  Wait(Scheduler &s, Signal *signal, Until until) : sched_(s), signal_(signal), until_(until) {}
+  Wait(Scheduler &s, Event *signal, Deadline until) : sched_(s), signal_(signal), until_(until) {}
   ~Wait() { leaveAll(); }
   Wait(const Wait &) = delete;
   Wait &operator=(const Wait &) = delete;
 
   bool await_ready() const { return false; }
   void await_suspend(std::coroutine_handle<> h);
-  Woken await_resume() const { return woken_; }
-  void wake(Woken why);
+  WakeReason await_resume() const { return woken_; }
+  void wake(WakeReason why);
 
 private:
   friend class Scheduler;
   void leaveAll();
   Scheduler &sched_;
-  Signal *signal_;
-  Until until_;
-  Woken woken_ = Woken::signalled;
+  Event *signal_;
+  Deadline until_;
+  WakeReason woken_ = WakeReason::notified;
   std::coroutine_handle<> coroutine_;
   Hook onSignal_{this}, onStop_{this}, onReady_{this};
-  std::multimap<Ns, Wait *>::iterator timer_;
+  std::multimap<Nanoseconds, Wait *>::iterator timer_;
   bool timed_ = false;
 };
 
 // A file descriptor's events, edge by edge.
-class Watched {
+class DescriptorObserver {
 public:
-  virtual void happened(std::uint32_t events) = 0;
+  virtual void onEvents(std::uint32_t events) = 0;
 
 protected:
-  ~Watched() = default;
+  ~DescriptorObserver() = default;
 };
 
 // The machine's clock, or one of the scheduler's own that jumps to the next time at which anything is due:
@@ -106,13 +106,15 @@
   Scheduler(const Scheduler &) = delete;
   Scheduler &operator=(const Scheduler &) = delete;
 
-  Ns now() const { return now_; }
-  Wait wait(Signal &signal, Until until = {}) { return {*this, &signal, until}; }
-  Wait sleep(Ns time, Stop *stop = nullptr) { return {*this, nullptr, {now_ + time, stop}}; }
+  Nanoseconds now() const { return now_; }
+  Wait wait(Event &signal, Deadline until = {}) { return {*this, &signal, until}; }
+  Wait sleep(Nanoseconds time, CancellationToken *stop = nullptr) {
+    return {*this, nullptr, {now_ + time, stop}};
+  }
   // Runs a coroutine of its own, from the next round on; it is the scheduler's until it ends. What it throws
   // ends it alone and goes to `onThrow`.
   void spawn(Task<> task);
-  void watch(int fd, Watched &watched);
+  void watch(int fd, DescriptorObserver &watched);
   // Removes a registration; to be called before the descriptor is closed. Closing alone does not remove it
   // while a duplicate is open, as in a child process between fork and exec.
   void unwatch(int fd);
@@ -132,10 +134,10 @@
 
   Clock clock_;
   int epoll_ = -1;
-  Ns now_ = 0;
+  Nanoseconds now_ = 0;
   bool halted_ = false;
   Hook ready_;
-  std::multimap<Ns, Wait *> timers_;
+  std::multimap<Nanoseconds, Wait *> timers_;
   std::list<Task<>> roots_;
   std::list<std::list<Task<>>::iterator> ended_;
 };
--- a/src/base/store/store.cpp
+++ b/src/base/storage/atomic_file.cpp
@@ -1,4 +1,4 @@
-#include "base/store/store.h"
+#include "base/storage/atomic_file.h"
 
 #include <cerrno>
 #include <cstring>
@@ -10,7 +10,7 @@
 #include <utility>
 #include <xxhash.h>
 
-namespace myrtlehead::store {
+namespace myrtlehead::storage {
 
 namespace {
 
@@ -142,4 +142,4 @@
   }
 }
 
-} // namespace myrtlehead::store
+} // namespace myrtlehead::storage
--- a/src/base/store/store.h
+++ b/src/base/storage/atomic_file.h
@@ -8,12 +8,12 @@
 #include <string_view>
 #include <thread>
 
-namespace myrtlehead::store {
+namespace myrtlehead::storage {
 
 // What a file must be to be believed.
 struct Kind {
   std::string what; // "names"
-  std::string of;   // whose: another marshal's is foreign
+  std::string of;   // whose: another instance's is foreign
   int format = 1;
 };
 
@@ -51,4 +51,4 @@
   std::thread thread_;
 };
 
-} // namespace myrtlehead::store
+} // namespace myrtlehead::storage
--- a/src/fleet/jobs.cpp
+++ b/src/cluster/job_manager.cpp
@@ -1,9 +1,9 @@
-#include "fleet/jobs.h"
+#include "cluster/job_manager.h"
 
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 using custody::How;
 using custody::Job;
@@ -12,57 +12,62 @@
 
 namespace {
 
-constexpr Ns kLook = 50 * kMs;   // so often open jobs are looked through
-constexpr Ns kAnswer = 3 * kSec; // a submitter waits so long
-constexpr Ns kStep = 2 * kSec;   // for one change of a register
-constexpr int kRenewals = 3;     // in a claim's length
-constexpr int kKept = 20;        // records for each job that may be open
+constexpr Nanoseconds kLook = 50 * kMillisecond; // so often open jobs are looked through
+constexpr Nanoseconds kAnswer = 3 * kSecond;     // a submitter waits so long
+constexpr Nanoseconds kStep = 2 * kSecond;       // for one change of a register
+constexpr int kRenewals = 3;                     // in a claim's length
+constexpr int kKept = 20;                        // records for each job that may be open
 
-Answered refused(int status, const std::string &error, const std::string &field = "", int comeBackMs = 0) {
+HttpResponse refused(int status, const std::string &error, const std::string &field = "",
+                     int comeBackMs = 0) {
   nlohmann::json out{{"error", error}};
   if (!field.empty()) out["field"] = field;
   if (comeBackMs > 0) out["come_back_ms"] = comeBackMs;
   return {status, out.dump()};
 }
 
-Answered answered(int status, std::string body) {
-  Answered out{status, std::move(body)};
+HttpResponse answered(int status, std::string body) {
+  HttpResponse out{status, std::move(body)};
   return out;
 }
 
 } // namespace
 
-Jobs::Jobs(net::Scheduler &sched, Registers &registers, Ledger &ledger, Runner &runner, log::Log &log,
-           const Membership &membership, Routes routes, Ns unixAtZero, std::uint64_t seed)
-    : sched_(sched), registers_(registers), ledger_(ledger), runner_(runner), log_(log),
+JobManager::JobManager(net::Scheduler &sched, ReplicatedRegisters &registers, RegisterStore &ledger,
+                       JobExecutor &runner, log::Log &log, const Membership &membership, Routes routes,
+                       Nanoseconds unixAtZero, std::uint64_t seed)
+    : sched_(sched), registers_(registers), registerStore_(ledger), jobExecutor_(runner), log_(log),
       membership_(membership), routes_(std::move(routes)), unixAtZero_(unixAtZero) {
   chance_.seed(static_cast<std::knuth_b::result_type>(seed ^ seed >> 32));
 }
 
-bool Jobs::own(const Job &job) const { return job.holder == registers_.me() && job.life == ledger_.life(); }
+bool JobManager::own(const Job &job) const {
+  return job.holder == registers_.me() && job.life == registerStore_.life();
+}
 
-Jobs::Figures Jobs::figures() const {
+JobManager::Figures JobManager::figures() const {
   auto out = figures_;
   out.open = open_, out.running = busy_.size();
   return out;
 }
 
-net::Task<Answered> Jobs::submit(std::string body) {
+net::Task<HttpResponse> JobManager::submit(std::string body) {
   auto read = readSubmission(body, routes_, now());
   if (const auto *fault = std::get_if<Refused>(&read)) {
     ++figures_.refused;
     co_return refused(400, "expected " + fault->expected, fault->field);
   }
-  const auto record = std::get<Record>(std::move(read));
+  const auto record = std::get<JobRecord>(std::move(read));
   const auto key = keyOf(record.job.id);
   const auto most = static_cast<std::size_t>(membership_.queue);
-  if (open_ >= most || ledger_.all().size() >= kKept * most) {
+  if (open_ >= most || registerStore_.all().size() >= kKept * most) {
     ++figures_.refused;
-    co_return refused(503, "the queue is full", "", static_cast<int>(membership_.terms.claimFor / kMs));
+    co_return refused(503, "the queue is full", "",
+                      static_cast<int>(membership_.terms.claimFor / kMillisecond));
   }
   const auto first = text(record);
-  const net::Until until{sched_.now() + kAnswer, nullptr};
-  const Registers::Step put = [first](const std::string &is) {
+  const net::Deadline until{sched_.now() + kAnswer, nullptr};
+  const ReplicatedRegisters::Step put = [first](const std::string &is) {
     return is.empty() ? std::optional(first) : std::nullopt;
   };
   const auto changed = co_await registers_.change(key, put, until);
@@ -83,9 +88,11 @@
   co_return answered(fresh ? 202 : 200, told(*stands));
 }
 
-net::Task<Answered> Jobs::tell(std::string id) {
-  const Registers::Step read = [](const std::string &) -> std::optional<std::string> { return std::nullopt; };
-  const net::Until until{sched_.now() + kAnswer, nullptr};
+net::Task<HttpResponse> JobManager::tell(std::string id) {
+  const ReplicatedRegisters::Step read = [](const std::string &) -> std::optional<std::string> {
+    return std::nullopt;
+  };
+  const net::Deadline until{sched_.now() + kAnswer, nullptr};
   const auto key = keyOf(id);
   const auto changed = co_await registers_.change(key, read, until);
   if (changed.what != Changed::unwanted)
@@ -97,11 +104,11 @@
 
 // Open jobs, by their importance and due time, whose turn has come here. Records that nobody acts on any more
 // go.
-std::vector<std::string> Jobs::claimable() {
+std::vector<std::string> JobManager::claimable() {
   std::vector<std::pair<Job, std::string>> found;
   std::vector<std::string> over;
   open_ = 0;
-  for (const auto &[key, held] : ledger_.all()) {
+  for (const auto &[key, held] : registerStore_.all()) {
     auto &known = seen_[key];
     if (known.accepted != held.accepted) {
       const auto record = readRecord(held.value);
@@ -124,22 +131,22 @@
     if (now() - seen >= custody::turnOf(job.id, registers_.me(), registers_.members()))
       found.emplace_back(job, key);
   }
-  for (const auto &key : over) ledger_.forget(key), firstSeen_.erase(key), seen_.erase(key);
+  for (const auto &key : over) registerStore_.forget(key), firstSeen_.erase(key), seen_.erase(key);
   std::ranges::stable_sort(found, [](const auto &a, const auto &b) {
-    return std::pair(-a.first.importance, a.first.due) < std::pair(-b.first.importance, b.first.due);
+    return std::pair(-a.first.priorityWeight, a.first.due) < std::pair(-b.first.priorityWeight, b.first.due);
   });
   std::vector<std::string> out;
   for (auto &[_, key] : found) out.push_back(std::move(key));
   return out;
 }
 
-net::Task<> Jobs::close() {
+net::Task<> JobManager::close() {
   leaving_ = true;
-  const Ns until = sched_.now() + membership_.terms.claimFor;
+  const Nanoseconds until = sched_.now() + membership_.terms.claimFor;
   while (!busy_.empty() && sched_.now() < until) co_await sched_.sleep(kLook);
 }
 
-net::Task<> Jobs::look() {
+net::Task<> JobManager::look() {
   while (!leaving_) {
     for (auto &key : claimable()) {
       if (busy_.size() >= static_cast<std::size_t>(membership_.slots)) break;
@@ -152,15 +159,17 @@
 
 // One step of a job's record that this member makes, or finds made by an earlier answer of its own that was
 // lost.
-net::Task<std::optional<Record>> Jobs::advance(std::string key, State made, JobStep step) {
-  const net::Until until{sched_.now() + kStep, nullptr};
-  const Registers::Step next = [this, made, step](const std::string &is) -> std::optional<std::string> {
+net::Task<std::optional<JobRecord>> JobManager::advance(std::string key, State made, JobStep step) {
+  const net::Deadline until{sched_.now() + kStep, nullptr};
+  const ReplicatedRegisters::Step next = [this, made,
+                                          step](const std::string &is) -> std::optional<std::string> {
     auto record = readRecord(is);
     if (!record) return std::nullopt;
     // An own claim that has run out unused is no answer that was lost: it is made anew, or it would stand for
     // ever.
-    const bool spent = made == State::claimed && !custody::mayBegin(record->job, registers_.me(),
-                                                                    ledger_.life(), now(), membership_.terms);
+    const bool spent = made == State::claimed &&
+                       !custody::mayBegin(record->job, registers_.me(), registerStore_.life(), now(),
+                                          membership_.terms);
     if (record->job.state == made && own(record->job) && !spent) return std::nullopt;
     auto job = step(record->job);
     if (!job) return std::nullopt;
@@ -175,33 +184,35 @@
 
 // Keeps the claim while its job runs; where no majority lets it, the job is stopped before others may start
 // it.
-net::Task<> Jobs::renew(std::string key, std::shared_ptr<sched::Stop> stop, Ns until) {
+net::Task<> JobManager::renew(std::string key, std::shared_ptr<sched::CancellationToken> stop,
+                              Nanoseconds until) {
   const auto &terms = membership_.terms;
   for (;;) {
     const auto woken = co_await sched_.sleep(terms.claimFor / kRenewals, stop.get());
-    if (woken == sched::Woken::stopped) co_return;
-    const Ns asked = now();
-    const net::Until within{until - unixAtZero_ - terms.drift, stop.get()};
-    const Registers::Step step = [this, asked, &terms](const std::string &is) -> std::optional<std::string> {
+    if (woken == sched::WakeReason::cancelled) co_return;
+    const Nanoseconds asked = now();
+    const net::Deadline within{until - unixAtZero_ - terms.drift, stop.get()};
+    const ReplicatedRegisters::Step step = [this, asked,
+                                            &terms](const std::string &is) -> std::optional<std::string> {
       auto record = readRecord(is);
-      if (!record || !custody::mayBegin(record->job, registers_.me(), ledger_.life(), asked, terms))
+      if (!record || !custody::mayBegin(record->job, registers_.me(), registerStore_.life(), asked, terms))
         return std::nullopt;
       record->job = custody::renewed(record->job, asked, terms);
       return text(*record);
     };
     const auto changed = co_await registers_.change(key, step, within);
-    if (stop->requested()) co_return;
+    if (stop->isCancelled()) co_return;
     if (changed.what == Changed::made) until = asked + terms.claimFor;
     if (changed.what == Changed::unwanted || now() + terms.drift >= until) {
       ++figures_.stopped;
       log_.warning("a job's claim could not be kept: it is stopped", {{"job", key}});
-      stop->request();
+      stop->cancel();
       co_return;
     }
   }
 }
 
-net::Task<> Jobs::take(std::string key) {
+net::Task<> JobManager::take(std::string key) {
   struct Busy {
     std::set<std::string> &keys;
     const std::string &key;
@@ -213,28 +224,28 @@
     const auto may = custody::mayClaim(job, now(), terms);
     if (may.what == May::giveUp) return custody::givenUp(job, may.reason);
     if (may.what != May::claim) return std::nullopt;
-    return custody::claimed(job, me, ledger_.life(), now(), terms);
+    return custody::claimed(job, me, registerStore_.life(), now(), terms);
   };
   auto record = co_await advance(key, State::claimed, claim);
   if (record && record->job.state == State::givenUp) ++figures_.reported;
   if (!record || record->job.state != State::claimed || !own(record->job)) co_return;
   const auto starts = record->job.starts;
   const JobStep begin = [&](const Job &job) -> std::optional<Job> {
-    if (job.starts != starts || !custody::mayBegin(job, me, ledger_.life(), now(), terms))
+    if (job.starts != starts || !custody::mayBegin(job, me, registerStore_.life(), now(), terms))
       return std::nullopt;
     return custody::begun(job, now());
   };
   record = co_await advance(key, State::begun, begin);
   // A member that has slept wakes here, with its claim written down and its time perhaps up.
   if (!record || record->job.state != State::begun || record->job.starts != starts + 1 ||
-      !custody::mayBegin(record->job, me, ledger_.life(), now(), terms))
+      !custody::mayBegin(record->job, me, registerStore_.life(), now(), terms))
     co_return;
   ++figures_.begun;
   log_.debug("a job begins", {{"job", record->job.id}, {"starts", record->job.starts}});
-  const auto stop = std::make_shared<sched::Stop>();
+  const auto stop = std::make_shared<sched::CancellationToken>();
   sched_.spawn(renew(key, stop, record->job.until));
-  const auto ran = co_await runner_.run(*record, *stop);
-  stop->request();
+  const auto ran = co_await jobExecutor_.run(*record, *stop);
+  stop->cancel();
   const double draw = std::uniform_real_distribution<double>(0, 1)(chance_);
   for (int tries = 0; tries < 5; ++tries) { // what nobody hears in the end is found out by who takes it next
     const JobStep end = [&](const Job &job) -> std::optional<Job> {
@@ -249,4 +260,4 @@
   }
 }
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/fleet/record.cpp
+++ b/src/cluster/job_record.cpp
@@ -1,11 +1,11 @@
-#include "fleet/record.h"
+#include "cluster/job_record.h"
 
 #include <algorithm>
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 #include <xxhash.h>
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 using custody::Job;
 using custody::State;
@@ -61,17 +61,18 @@
 
 } // namespace
 
-std::variant<Record, Refused> readSubmission(const std::string &body, const Routes &routes, Ns now) {
+std::variant<JobRecord, Refused> readSubmission(const std::string &body, const Routes &routes,
+                                                Nanoseconds now) {
   const auto in = json::parse(body, nullptr, false);
   if (!in.is_object()) return Refused{"", "one JSON object"};
   for (const auto &[field, _] : in.items())
     if (!indexOf(kFields, field))
       return Refused{field, "no such field; known are mark, submitter, route, kind, key, "
                             "value, due_ms, importance"};
-  Record out;
+  JobRecord out;
   auto &w = out.work;
   std::string kind;
-  std::int64_t due = kFirstDue, importance = 1;
+  std::int64_t due = kFirstDue, priorityWeight = 1;
   const auto name = fmt::format("1 to {} letters, digits or any of -_.:", kMostName);
   if (!take(in, "mark", w.mark) || !plain(w.mark, kMostName)) return Refused{"mark", name};
   if (!take(in, "submitter", w.submitter) || !plain(w.submitter, kMostName))
@@ -86,7 +87,7 @@
   out.job.kind = routeKind;
   if (!take(in, "kind", kind)) return Refused{"kind", "retriable, deduped or non-retriable"};
   if (const auto at = indexOf(kKinds, kind))
-    out.job.kind = static_cast<Repeat>(*at);
+    out.job.kind = static_cast<Idempotency>(*at);
   else if (!kind.empty())
     return Refused{"kind", "retriable, deduped or non-retriable"};
   if (out.job.kind < routeKind)
@@ -94,24 +95,24 @@
         "kind", fmt::format("none freer than its route's, which is {}", kKinds[static_cast<int>(routeKind)])};
   if (!take(in, "due_ms", kLeastDue, kMostDue, due))
     return Refused{"due_ms", "a whole number from 100 to 604800000"};
-  if (!take(in, "importance", 1, 100, importance))
+  if (!take(in, "importance", 1, 100, priorityWeight))
     return Refused{"importance", "a whole number from 1 to 100"};
   const auto whole = w.submitter + "/" + w.mark;
   out.job.id = fmt::format("{:016x}", XXH64(whole.data(), whole.size(), 0));
-  out.job.importance = static_cast<int>(importance);
-  out.job.submitted = now, out.job.due = now + due * kMs;
+  out.job.priorityWeight = static_cast<int>(priorityWeight);
+  out.job.submitted = now, out.job.due = now + due * kMillisecond;
   return out;
 }
 
 std::string keyOf(const std::string &id) { return "job/" + id; }
 
-std::string text(const Record &r) {
+std::string text(const JobRecord &r) {
   const auto &j = r.job;
   const auto &w = r.work;
   return json{{"form", 1},
               {"id", j.id},
               {"kind", static_cast<int>(j.kind)},
-              {"importance", j.importance},
+              {"importance", j.priorityWeight},
               {"submitted", j.submitted},
               {"due", j.due},
               {"window", j.window},
@@ -131,17 +132,17 @@
       .dump();
 }
 
-std::optional<Record> readRecord(const std::string &text) {
+std::optional<JobRecord> readRecord(const std::string &text) {
   const auto in = json::parse(text, nullptr, false);
   if (!in.is_object() || in.value("form", 0) != 1) return std::nullopt;
   try {
-    Record r;
+    JobRecord r;
     auto &j = r.job;
     auto &w = r.work;
     const int kind = in.at("kind").get<int>(), state = in.at("state").get<int>();
     if (kind < 0 || kind > 2 || state < 0 || state > static_cast<int>(State::givenUp)) return std::nullopt;
-    in.at("id").get_to(j.id), j.kind = static_cast<Repeat>(kind), j.state = static_cast<State>(state);
-    in.at("importance").get_to(j.importance), in.at("submitted").get_to(j.submitted),
+    in.at("id").get_to(j.id), j.kind = static_cast<Idempotency>(kind), j.state = static_cast<State>(state);
+    in.at("importance").get_to(j.priorityWeight), in.at("submitted").get_to(j.submitted),
         in.at("due").get_to(j.due);
     in.at("window").get_to(j.window), in.at("holder").get_to(j.holder), in.at("life").get_to(j.life);
     in.at("until").get_to(j.until), in.at("first_begun").get_to(j.firstBegun);
@@ -155,7 +156,7 @@
   }
 }
 
-std::string told(const Record &r) {
+std::string told(const JobRecord &r) {
   const auto &j = r.job;
   json out{{"id", j.id},
            {"mark", r.work.mark},
@@ -169,16 +170,16 @@
   return out.dump();
 }
 
-// The id is another for each start, as nodes take an id once; the mark is the job's own.
-std::string statementOf(const Record &r, Ns patience) {
+// The id is another for each start, as endpoints take an id once; the mark is the job's own.
+std::string statementOf(const JobRecord &r, Nanoseconds patience) {
   const auto id = XXH64(r.job.id.data(), r.job.id.size(),
                         static_cast<std::uint64_t>(r.job.starts) ^ r.job.life);
-  const auto comment = fmt::format("/* id={:016x},c={},d={},k={} */", id, r.work.route, patience / kMs,
-                                   r.job.id);
+  const auto comment = fmt::format("/* id={:016x},c={},d={},k={} */", id, r.work.route,
+                                   patience / kMillisecond, r.job.id);
   if (r.work.value.empty())
     return fmt::format("SELECT v FROM records WHERE k = '{}' {}", r.work.key, comment);
   return fmt::format("INSERT INTO records (k, v) VALUES ('{}', '\\x{}') RETURNING v {}", r.work.key,
                      r.work.value, comment);
 }
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/fleet/door.cpp
+++ b/src/cluster/job_server.cpp
@@ -1,11 +1,11 @@
-#include "fleet/door.h"
+#include "cluster/job_server.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http.hpp>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 namespace http = boost::beast::http;
 
@@ -13,9 +13,10 @@
 constexpr std::size_t kMostBody = 64 * 1024, kMostHead = 8 * 1024;
 constexpr std::size_t kMostDue = 64; // questions on one connection that are not answered yet
 constexpr int kMostOpen = 256;
-constexpr Ns kIdle = 60 * kSec, kWhole = 5 * kSec; // without a question; for one that has begun
+constexpr Nanoseconds kIdle = 60 * kSecond,
+                      kWhole = 5 * kSecond; // without a question; for one that has begun
 
-std::string written(const Answered &a, bool last) {
+std::string written(const HttpResponse &a, bool last) {
   http::response<http::string_body> out(static_cast<http::status>(a.status), 11, a.body);
   out.set(http::field::content_type, "application/json");
   if (a.status == 503) out.set(http::field::retry_after, "1");
@@ -26,39 +27,39 @@
   return std::move(text).str();
 }
 
-Answered fault(int status, const char *why) { return {status, nlohmann::json{{"error", why}}.dump()}; }
+HttpResponse fault(int status, const char *why) { return {status, nlohmann::json{{"error", why}}.dump()}; }
 } // namespace
 
-struct Door::Due {
+struct JobServer::Due {
   bool made = false, last = false;
-  Answered answer;
+  HttpResponse answer;
 };
 
-struct Door::Line {
+struct JobServer::Line {
   std::unique_ptr<net::Socket> socket;
   std::deque<std::shared_ptr<Due>> due;
-  sched::Signal changed;
+  sched::Event changed;
   bool over = false;
 };
 
-Door::Door(net::Scheduler &sched, net::Descriptors &budget, Registers &registers, Jobs &jobs,
-           const Membership &membership, log::Log &log)
+JobServer::JobServer(net::Scheduler &sched, net::DescriptorBudget &budget, ReplicatedRegisters &registers,
+                     JobManager &jobs, const Membership &membership, log::Log &log)
     : sched_(sched), budget_(budget), registers_(registers), jobs_(jobs), membership_(membership), log_(log),
       listener_(net::listenAt(sched, budget, membership.listen)) {}
 
-net::Task<> Door::accept() {
+net::Task<> JobServer::accept() {
   for (;;) {
     auto socket = net::acceptNow(sched_, budget_, *listener_);
     if (socket && open_ < kMostOpen)
       sched_.spawn(serve(std::move(*socket)));
     else if (!socket)
-      co_await listener_->readable({sched_.now() + kSec, nullptr});
+      co_await listener_->readable({sched_.now() + kSecond, nullptr});
   }
 }
 
 // Questions are read one behind the other and answered in their order, but made side by side: one that waits
 // for the disk or for other members keeps none behind it from being begun.
-net::Task<> Door::serve(std::unique_ptr<net::Socket> socket) {
+net::Task<> JobServer::serve(std::unique_ptr<net::Socket> socket) {
   struct Open {
     int &n;
     ~Open() { --n; }
@@ -70,7 +71,7 @@
   for (bool more = true; more && !line->over;) {
     http::request_parser<http::string_body> parser;
     parser.body_limit(kMostBody), parser.header_limit(kMostHead), parser.eager(true);
-    Ns until = sched_.now() + kIdle;
+    Nanoseconds until = sched_.now() + kIdle;
     const char *why = nullptr;
     while (!parser.is_done() && why == nullptr) {
       boost::system::error_code error;
@@ -85,7 +86,7 @@
         if (parser.is_done() || why != nullptr) break;
       }
       const auto cause = co_await line->socket->read(buffer, {until, nullptr});
-      if (cause != net::Cause::none) {
+      if (cause != net::ErrorCode::none) {
         line->over = true, line->changed.notify();
         co_return;
       }
@@ -107,14 +108,14 @@
   }
 }
 
-net::Task<> Door::make(std::shared_ptr<Line> line, std::shared_ptr<Due> due, std::string method,
-                       std::string target, std::string body) {
+net::Task<> JobServer::make(std::shared_ptr<Line> line, std::shared_ptr<Due> due, std::string method,
+                            std::string target, std::string body) {
   due->answer = co_await answer(std::move(method), std::move(target), std::move(body));
   due->made = true;
   line->changed.notify();
 }
 
-net::Task<> Door::write(std::shared_ptr<Line> line) {
+net::Task<> JobServer::write(std::shared_ptr<Line> line) {
   while (!line->over) {
     if (line->due.empty() || !line->due.front()->made) {
       co_await sched_.wait(line->changed);
@@ -124,16 +125,16 @@
     const auto cause = co_await line->socket->write(written(due->answer, due->last),
                                                     {sched_.now() + kWhole, nullptr});
     line->due.pop_front();
-    if (cause != net::Cause::none || due->last) line->over = true;
+    if (cause != net::ErrorCode::none || due->last) line->over = true;
     if (due->last) line->socket->endWriting();
     line->changed.notify();
   }
   line->socket->shutDown(); // who reads here sees the end
 }
 
-net::Task<Answered> Door::answer(std::string method, std::string target, std::string body) {
+net::Task<HttpResponse> JobServer::answer(std::string method, std::string target, std::string body) {
   constexpr std::string_view kJob = "/jobs/";
-  Answered out;
+  HttpResponse out;
   if (method == "POST" && target == "/fleet/promise")
     out = co_await registers_.promise(std::move(body));
   else if (method == "POST" && target == "/fleet/accept")
@@ -149,12 +150,13 @@
   co_return out;
 }
 
-Answered Door::members() const {
+HttpResponse JobServer::members() const {
   auto list = nlohmann::json::array();
   for (std::uint32_t m = 0; m < registers_.members(); ++m) {
     const auto at = registers_.answeredAt()[m];
     nlohmann::json one{{"name", membership_.members[m].name}, {"at", net::text(membership_.members[m].at)}};
-    one["answered_ms_ago"] = at == 0 ? nlohmann::json(nullptr) : nlohmann::json((sched_.now() - at) / kMs);
+    one["answered_ms_ago"] = at == 0 ? nlohmann::json(nullptr)
+                                     : nlohmann::json((sched_.now() - at) / kMillisecond);
     list.push_back(std::move(one));
   }
   const auto f = jobs_.figures();
@@ -171,4 +173,4 @@
                    .dump()};
 }
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/fleet/door.h
+++ b/src/cluster/job_server.h
@@ -1,16 +1,16 @@
 // Where members and submitters ask this member: HTTP on the address that the settings name.
 #pragma once
 
-#include "fleet/jobs.h"
+#include "cluster/job_manager.h"
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
-class Door {
+class JobServer {
 public:
   // Throws std::system_error where the address can't be had.
-  Door(net::Scheduler &sched, net::Descriptors &budget, Registers &registers, Jobs &jobs,
-       const Membership &membership, log::Log &log);
-  net::Task<> accept(); // for as long as the marshal lives
+  JobServer(net::Scheduler &sched, net::DescriptorBudget &budget, ReplicatedRegisters &registers,
+            JobManager &jobs, const Membership &membership, log::Log &log);
+  net::Task<> accept(); // for as long as the instance lives
   net::Address address() const { return net::localAddress(*listener_); }
 
 private:
@@ -20,17 +20,17 @@
   net::Task<> write(std::shared_ptr<Line> line);
   net::Task<> make(std::shared_ptr<Line> line, std::shared_ptr<Due> due, std::string method,
                    std::string target, std::string body);
-  net::Task<Answered> answer(std::string method, std::string target, std::string body);
-  Answered members() const;
+  net::Task<HttpResponse> answer(std::string method, std::string target, std::string body);
+  HttpResponse members() const;
 
   net::Scheduler &sched_;
-  net::Descriptors &budget_;
-  Registers &registers_;
-  Jobs &jobs_;
+  net::DescriptorBudget &budget_;
+  ReplicatedRegisters &registers_;
+  JobManager &jobs_;
   const Membership &membership_;
   log::Log &log_;
   std::unique_ptr<net::Socket> listener_;
   int open_ = 0;
 };
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/fleet/membership.h
+++ b/src/cluster/membership.h
@@ -3,12 +3,12 @@
 #pragma once
 
 #include "base/net/socket.h"
-#include "decide/custody/claim.h"
+#include "policy/job_lease.h"
 
 #include <string>
 #include <vector>
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 struct Member {
   std::string name;
@@ -17,14 +17,14 @@
 };
 
 struct Membership {
-  std::uint32_t me = 0; // this marshal's number
+  std::uint32_t ownIndex = 0; // this instance's number
   net::Address listen;
   std::string folder; // its ledger's
   std::vector<Member> members;
   custody::Terms terms;
   int queue = 1000; // open jobs that are taken; more are refused for a while
-  int slots = 4;    // jobs that this marshal runs at once
+  int slots = 4;    // jobs that this instance runs at once
   bool operator==(const Membership &) const = default;
 };
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/fleet/ledger.cpp
+++ b/src/cluster/register_store.cpp
@@ -1,4 +1,4 @@
-#include "fleet/ledger.h"
+#include "cluster/register_store.h"
 
 #include <cerrno>
 #include <cstring>
@@ -8,7 +8,7 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 namespace {
 
@@ -74,8 +74,8 @@
 
 } // namespace
 
-SqliteLedger::SqliteLedger(sched::Scheduler &sched, const std::string &folder, const std::string &of,
-                           std::uint64_t unixNow)
+SqliteRegisterStore::SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder,
+                                         const std::string &of, std::uint64_t unixNow)
     : sched_(sched), path_(folder + "/ledger.db") {
   std::error_code error;
   std::filesystem::create_directories(folder, error);
@@ -97,7 +97,7 @@
   thread_ = std::thread([this] { this->run(); });
 }
 
-SqliteLedger::~SqliteLedger() {
+SqliteRegisterStore::~SqliteRegisterStore() {
   {
     const std::lock_guard lock(mutex_);
     over_ = true;
@@ -108,14 +108,14 @@
   close(event_);
 }
 
-std::string SqliteLedger::open(const std::string &of, std::uint64_t unixNow) {
+std::string SqliteRegisterStore::open(const std::string &of, std::uint64_t unixNow) {
   try {
     if (sqlite3_open_v2(path_.c_str(), &db_,
                         SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_FULLMUTEX,
                         nullptr) != SQLITE_OK)
       return sqlite3_errmsg(db_);
-    fleet::run(db_, "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL");
-    fleet::run(db_, "CREATE TABLE IF NOT EXISTS meta (form INTEGER, owner BLOB, life INTEGER)");
+    cluster::run(db_, "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL");
+    cluster::run(db_, "CREATE TABLE IF NOT EXISTS meta (form INTEGER, owner BLOB, life INTEGER)");
     Statement meta(db_, "SELECT form, owner, life FROM meta");
     if (meta.row()) {
       if (meta.number(0) != kForm)
@@ -125,7 +125,7 @@
       life_ = meta.number(2);
     }
     life_ = std::max(life_ + 1, unixNow); // also above those of a ledger that was lost
-    fleet::run(
+    cluster::run(
         db_,
         "CREATE TABLE IF NOT EXISTS registers (key BLOB PRIMARY KEY, pr INTEGER, pl INTEGER, pm INTEGER, "
         "ar INTEGER, al INTEGER, am INTEGER, value BLOB) WITHOUT ROWID; DELETE FROM meta");
@@ -137,7 +137,7 @@
   }
 }
 
-void SqliteLedger::load() {
+void SqliteRegisterStore::load() {
   registers_.clear();
   Statement all(db_, "SELECT * FROM registers");
   const auto ballot = [&](int i) {
@@ -146,7 +146,7 @@
   while (all.row()) registers_[all.text(0)] = {ballot(1), ballot(4), all.text(7)};
 }
 
-sched::Task<std::string> SqliteLedger::keep(std::string key) {
+sched::Task<std::string> SqliteRegisterStore::keep(std::string key) {
   const auto w = std::make_shared<Write>();
   w->held = registers_[key];
   w->key = std::move(key);
@@ -159,7 +159,7 @@
   co_return w->fault;
 }
 
-void SqliteLedger::forget(const std::string &key) {
+void SqliteRegisterStore::forget(const std::string &key) {
   registers_.erase(key);
   const auto w = std::make_shared<Write>();
   w->key = key, w->gone = true;
@@ -167,7 +167,7 @@
   waiting_.push_back(w); // goes with the next that somebody waits for
 }
 
-sched::Task<> SqliteLedger::wake() {
+sched::Task<> SqliteRegisterStore::wake() {
   for (;;) {
     std::uint64_t n = 0;
     if (read(event_, &n, sizeof n) != sizeof n) {
@@ -183,7 +183,7 @@
   }
 }
 
-void SqliteLedger::run() {
+void SqliteRegisterStore::run() {
   for (;;) {
     std::deque<std::shared_ptr<Write>> batch;
     {
@@ -204,11 +204,11 @@
   }
 }
 
-std::string SqliteLedger::writeAll(const std::deque<std::shared_ptr<Write>> &batch) {
+std::string SqliteRegisterStore::writeAll(const std::deque<std::shared_ptr<Write>> &batch) {
   try {
-    fleet::run(db_, "BEGIN IMMEDIATE");
-    for (const auto &w : batch) fleet::write(db_, w->key, w->held, w->gone);
-    fleet::run(db_, "COMMIT");
+    cluster::run(db_, "BEGIN IMMEDIATE");
+    for (const auto &w : batch) cluster::write(db_, w->key, w->held, w->gone);
+    cluster::run(db_, "COMMIT");
     return "";
   } catch (const std::exception &e) {
     std::string why = e.what();
@@ -217,4 +217,4 @@
   }
 }
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/fleet/ledger.h
+++ b/src/cluster/register_store.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "base/sched/scheduler.h"
-#include "decide/custody/register.h"
+#include "policy/consensus_register.h"
 
 #include <condition_variable>
 #include <deque>
@@ -15,12 +15,12 @@
 
 struct sqlite3;
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 // The registers as they stand, in memory and in order of their keys; what changes them goes to the disk.
-class Ledger {
+class RegisterStore {
 public:
-  virtual ~Ledger() = default;
+  virtual ~RegisterStore() = default;
   custody::Held &held(const std::string &key) { return registers_[key]; }
   const std::map<std::string, custody::Held> &all() const { return registers_; }
   // Returns once the register, as it stands at the call, is on the disk. "": it is; otherwise why not, and
@@ -37,15 +37,15 @@
 // In SQLite (WAL, synced), written by one thread, all that waits in one transaction. A file that is damaged,
 // another member's or of a later form is set aside as FILE.refused; `refusal` says so, and the ledger starts
 // empty.
-class SqliteLedger final : public Ledger {
+class SqliteRegisterStore final : public RegisterStore {
 public:
   // Throws std::runtime_error with a sentence where the folder can't be written.
-  SqliteLedger(sched::Scheduler &sched, const std::string &folder, const std::string &of,
-               std::uint64_t unixNow);
-  ~SqliteLedger() override;
+  SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder, const std::string &of,
+                      std::uint64_t unixNow);
+  ~SqliteRegisterStore() override;
   sched::Task<std::string> keep(std::string key) override;
   void forget(const std::string &key) override;
-  sched::Task<> wake(); // for as long as the marshal lives: takes up what the thread has written
+  sched::Task<> wake(); // for as long as the instance lives: takes up what the thread has written
   int eventFd() const { return event_; }
   std::string refusal;
 
@@ -56,7 +56,7 @@
     bool gone = false;
     bool over = false;
     std::string fault;
-    sched::Signal written;
+    sched::Event written;
   };
   std::string open(const std::string &of, std::uint64_t unixNow); // "", or why the file is refused
   void load();
@@ -73,4 +73,4 @@
   std::thread thread_;
 };
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
