--- a/src/fleet/registers.cpp
+++ b/src/cluster/replicated_registers.cpp
@@ -1,8 +1,8 @@
-#include "fleet/registers.h"
+#include "cluster/replicated_registers.h"
 
 #include <nlohmann/json.hpp>
 
-namespace myrtlehead::fleet {
+namespace myrtlehead::cluster {
 
 using custody::Answer;
 using custody::Ballot;
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr net::Ns kPauseFirst = 5'000'000, kPauseMost = 640'000'000; // after a lost race, full jitter
+constexpr net::Nanoseconds kPauseFirst = 5'000'000,
+                           kPauseMost = 640'000'000; // after a lost race, full jitter
 constexpr std::size_t kMostKey = 200, kMostValue = 16 * 1024;
 
 json toJson(const Ballot &b) { return json::array({b.round, b.life, b.member}); }
@@ -36,15 +37,15 @@
   }
 }
 
-Answered kept(const std::string &fault, const Answer &answer) {
-  Answered out{200, ""};
+HttpResponse kept(const std::string &fault, const Answer &answer) {
+  HttpResponse out{200, ""};
   out.status = fault.empty() ? 200 : 503;
   out.body = fault.empty() ? text(answer) : "the disk takes nothing: " + fault;
   return out;
 }
 
-Answered badly(const json::exception &e) {
-  Answered out{400, e.what()};
+HttpResponse badly(const json::exception &e) {
+  HttpResponse out{400, e.what()};
   return out;
 }
 
@@ -65,57 +66,58 @@
 } // namespace
 
 // The answers of one phase, which come in while its proposer waits; late ones find it still there.
-struct Registers::Phase {
+struct ReplicatedRegisters::Phase {
   explicit Phase(int members) : count(members), open(members) {}
   Count count;
   int open;
-  sched::Signal more;
+  sched::Event more;
 };
 
-Registers::Registers(net::Scheduler &sched, Links &links, Ledger &ledger, std::uint32_t me,
-                     std::uint32_t members, std::uint64_t seed)
-    : sched_(sched), links_(links), ledger_(ledger), me_(me), members_(members), answeredAt_(members) {
+ReplicatedRegisters::ReplicatedRegisters(net::Scheduler &sched, MemberClient &links, RegisterStore &ledger,
+                                         std::uint32_t me, std::uint32_t members, std::uint64_t seed)
+    : sched_(sched), memberClient_(links), registerStore_(ledger), me_(me), members_(members),
+      answeredAt_(members) {
   chance_.seed(static_cast<std::knuth_b::result_type>(seed ^ seed >> 32));
 }
 
-net::Task<Answered> Registers::promise(std::string body) {
+net::Task<HttpResponse> ReplicatedRegisters::promise(std::string body) {
   Asked asked;
   try {
     asked = askedOf(body);
   } catch (const json::exception &e) {
     co_return badly(e);
   }
-  const auto answer = custody::promise(ledger_.held(asked.key), asked.ballot);
+  const auto answer = custody::promise(registerStore_.held(asked.key), asked.ballot);
   if (!answer.granted) co_return kept("", answer);
-  const auto fault = co_await ledger_.keep(asked.key);
+  const auto fault = co_await registerStore_.keep(asked.key);
   co_return kept(fault, answer);
 }
 
-net::Task<Answered> Registers::accept(std::string body) {
+net::Task<HttpResponse> ReplicatedRegisters::accept(std::string body) {
   Asked asked;
   try {
     asked = askedOf(body);
   } catch (const json::exception &e) {
     co_return badly(e);
   }
-  const auto answer = custody::accept(ledger_.held(asked.key), asked.ballot, asked.value);
+  const auto answer = custody::accept(registerStore_.held(asked.key), asked.ballot, asked.value);
   if (!answer.granted) co_return kept("", answer);
-  const auto fault = co_await ledger_.keep(asked.key);
+  const auto fault = co_await registerStore_.keep(asked.key);
   co_return kept(fault, answer);
 }
 
-net::Task<> Registers::askOne(std::uint32_t member, std::string what, std::string body, net::Until until,
-                              std::shared_ptr<Phase> phase) {
+net::Task<> ReplicatedRegisters::askOne(std::uint32_t member, std::string what, std::string body,
+                                        net::Deadline until, std::shared_ptr<Phase> phase) {
   std::optional<Answer> answer;
   if (member == me_) {
-    Answered own;
+    HttpResponse own;
     if (what == "promise")
       own = co_await promise(std::move(body));
     else
       own = co_await accept(std::move(body));
     if (own.status == 200) answer = answerOf(own.body);
   } else {
-    auto said = co_await links_.ask(member, std::move(what), std::move(body), until);
+    auto said = co_await memberClient_.ask(member, std::move(what), std::move(body), until);
     if (said && said->status == 200) answer = answerOf(said->body);
   }
   if (answer) {
@@ -128,22 +130,22 @@
   phase->more.notify();
 }
 
-net::Task<Count> Registers::askAll(std::string what, std::string key, Ballot ballot, std::string value,
-                                   net::Until until) {
+net::Task<Count> ReplicatedRegisters::askAll(std::string what, std::string key, Ballot ballot,
+                                             std::string value, net::Deadline until) {
   const auto body = json{{"key", key}, {"ballot", toJson(ballot)}, {"value", value}}.dump();
   const auto phase = std::make_shared<Phase>(static_cast<int>(members_));
   for (std::uint32_t m = 0; m < members_; ++m) sched_.spawn(askOne(m, what, body, until, phase));
   while (!phase->count.reached() && !phase->count.lost() && phase->open > 0) {
     const auto woken = co_await sched_.wait(phase->more, until);
-    if (woken != sched::Woken::signalled) break;
+    if (woken != sched::WakeReason::notified) break;
   }
   co_return phase->count;
 }
 
-net::Task<Changed> Registers::change(std::string key, Step step, net::Until until) {
+net::Task<Changed> ReplicatedRegisters::change(std::string key, Step step, net::Deadline until) {
   Changed out;
   for (int lost = 0; sched_.now() < until.at; ++lost) {
-    const Ballot ballot{++round_, ledger_.life(), me_};
+    const Ballot ballot{++round_, registerStore_.life(), me_};
     const auto promised = co_await askAll("promise", key, ballot, "", until);
     round_ = std::max(round_, promised.round());
     if (promised.reached()) {
@@ -163,11 +165,11 @@
       out.what = wanted ? Changed::unknown : Changed::noMajority;
     }
     const auto most = std::min(kPauseFirst << std::min(lost, 10), kPauseMost);
-    const auto pause = static_cast<net::Ns>(draw() * static_cast<double>(most));
+    const auto pause = static_cast<net::Nanoseconds>(draw() * static_cast<double>(most));
     const auto woken = co_await sched_.sleep(pause, until.stop);
-    if (woken == sched::Woken::stopped) break;
+    if (woken == sched::WakeReason::cancelled) break;
   }
   co_return out;
 }
 
-} // namespace myrtlehead::fleet
+} // namespace myrtlehead::cluster
--- a/src/follow/catalog/listing.cpp
+++ b/src/control/discovery/endpoint_list.cpp
@@ -1,11 +1,11 @@
-#include "follow/catalog/listing.h"
+#include "control/discovery/endpoint_list.h"
 
 #include "base/net/socket.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace myrtlehead::catalog {
+namespace myrtlehead::discovery {
 
 namespace {
 
@@ -25,18 +25,19 @@
   return true;
 }
 
-bool readMode(const std::string &status, Mode &out) {
-  if (status == "in_service") return out = Mode::ready, true;
-  if (status == "terminating") return out = Mode::draining, true;
-  return out = Mode::gone, status == "terminated";
+bool readMode(const std::string &status, EndpointState &out) {
+  if (status == "in_service") return out = EndpointState::ready, true;
+  if (status == "terminating") return out = EndpointState::draining, true;
+  return out = EndpointState::gone, status == "terminated";
 }
 
-const char *readEntry(const Value &in, const std::vector<std::string> &zones, Ns unixAtZero, Entry &out) {
+const char *readEntry(const Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero,
+                      Entry &out) {
   std::string status, zone;
   double build = 0, since = 0, group = 0;
   if (!text(in, "name", out.name) || out.name.empty()) return "an entry without a name";
-  if (!text(in, "status", status) || !readMode(status, out.listing.mode)) return "an unknown status";
-  const bool gone = out.listing.mode == Mode::gone;
+  if (!text(in, "status", status) || !readMode(status, out.info.state)) return "an unknown status";
+  const bool gone = out.info.state == EndpointState::gone;
   if (!text(in, "address", out.address) && !gone) return "an entry without an address";
   if (!gone && !net::parseAddress(out.address)) return "an address that can't be read";
   if (!number(in, "release", 0, 65535, build) && !gone) return "an entry without a release";
@@ -45,18 +46,20 @@
     return "a start out of range";
   if (text(in, "zone", zone)) {
     const auto at = std::find(zones.begin(), zones.end(), zone);
-    out.listing.zone = static_cast<int>(at - zones.begin());
+    out.info.zone = static_cast<int>(at - zones.begin());
   }
-  out.listing.build = static_cast<int>(build);
-  out.listing.cell = static_cast<int>(group);
-  // 0 stands for long ago, as does a start before the marshal's clock began.
-  if (since > 0) out.listing.start = std::max<Ns>(static_cast<Ns>(since) * kMs - unixAtZero, 0);
+  out.info.build = static_cast<int>(build);
+  out.info.cell = static_cast<int>(group);
+  // 0 stands for long ago, as does a start before the instance's clock began.
+  if (since > 0)
+    out.info.startedAt = std::max<Nanoseconds>(static_cast<Nanoseconds>(since) * kMillisecond - unixAtZero,
+                                               0);
   return nullptr;
 }
 
 } // namespace
 
-std::optional<List> readList(const Value &in, const std::vector<std::string> &zones, Ns unixAtZero,
+std::optional<List> readList(const Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero,
                              std::string &error) {
   List out;
   double index = 0;
@@ -74,4 +77,4 @@
   return out;
 }
 
-} // namespace myrtlehead::catalog
+} // namespace myrtlehead::discovery
--- a/src/follow/catalog/listing.h
+++ b/src/control/discovery/endpoint_list.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "format/json/json.h"
-#include "marshal/marshal.h"
+#include "router/router.h"
 
-namespace myrtlehead::catalog {
+namespace myrtlehead::discovery {
 
 struct List {
   std::uint64_t index = 0;
@@ -12,9 +12,9 @@
   std::vector<Entry> entries;
 };
 
-// nullopt: not a list, `error` says why. `unixAtZero`: the Unix time at which the marshal's clock read
+// nullopt: not a list, `error` says why. `unixAtZero`: the Unix time at which the instance's clock read
 // nought.
-std::optional<List> readList(const json::Value &in, const std::vector<std::string> &zones, Ns unixAtZero,
-                             std::string &error);
+std::optional<List> readList(const json::Value &in, const std::vector<std::string> &zones,
+                             Nanoseconds unixAtZero, std::string &error);
 
-} // namespace myrtlehead::catalog
+} // namespace myrtlehead::discovery
--- a/src/follow/names/names.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -1,21 +1,21 @@
-#include "follow/names/names.h"
+#include "control/dns/dns_discovery.h"
 
-#include "follow/names/snapshot.h"
+#include "control/dns/snapshot.h"
 
 #include <algorithm>
 
-namespace myrtlehead::names {
+namespace myrtlehead::dns_discovery {
 
-using resolver::Answer;
-using resolver::Said;
-using sources::Word;
+using dns_resolution::Answer;
+using dns_resolution::Said;
+using endpoint_merge::Word;
 
 namespace {
 
-constexpr Ns kAtOnce = kSec / 4; // the first look-ups, where there is nothing to serve from
-constexpr Ns kKeepEvery = kSec, kKeepAtLast = 10 * kSec; // the state on disk, at most
-constexpr Ns kGather = kSec / 4;                         // addresses of the first servers
-constexpr Ns kLongestPause = 60 * kSec;
+constexpr Nanoseconds kAtOnce = kSecond / 4; // the first look-ups, where there is nothing to serve from
+constexpr Nanoseconds kKeepEvery = kSecond, kKeepAtLast = 10 * kSecond; // the state on disk, at most
+constexpr Nanoseconds kGather = kSecond / 4;                            // addresses of the first servers
+constexpr Nanoseconds kLongestPause = 60 * kSecond;
 
 Word wordOf(Said said) {
   return said == Said::records  ? Word::records
@@ -26,8 +26,9 @@
 
 } // namespace
 
-Names::Names(net::Scheduler &sched, net::Descriptors &budget, sources::Sources &sources, const Naming &naming,
-             std::uint64_t seed, log::Log log, Counters &counters)
+DnsDiscovery::DnsDiscovery(net::Scheduler &sched, net::DescriptorBudget &budget,
+                           endpoint_merge::EndpointMerge &sources, const DnsSettings &naming,
+                           std::uint64_t seed, log::Log log, DnsMetrics &counters)
     : sched_(sched), budget_(budget), sources_(sources), naming_(naming), log_(std::move(log)),
       counters_(counters), chance_(seed), agenda_(naming.resolution, seed + 1) {
   for (const auto &set : naming.sets) {
@@ -40,7 +41,7 @@
   serversMoved(naming.servers);
 }
 
-void Names::serversMoved(std::vector<net::Address> servers) {
+void DnsDiscovery::serversMoved(std::vector<net::Address> servers) {
   const bool same = servers_ != nullptr &&
                     std::equal(servers.begin(), servers.end(), servers_->begin(), servers_->end(),
                                [](const net::Address &at, const auto &server) { return at == server->at; });
@@ -48,10 +49,10 @@
   servers_ = std::make_shared<std::vector<std::unique_ptr<Server>>>();
   for (const auto &at : servers)
     servers_->push_back(std::make_unique<Server>(Server{at, std::make_shared<TcpLine>(sched_, budget_, at)}));
-  health_ = std::make_shared<resolver::NameServers>(servers.size());
+  health_ = std::make_shared<dns_resolution::NameServers>(servers.size());
 }
 
-net::Task<> Names::run(bool mayWait) {
+net::Task<> DnsDiscovery::run(bool mayWait) {
   for (const auto &question : sets_)
     agenda_.want(question, mayWait ? naming_.startSpread : kAtOnce, sched_.now());
   wantHosts();
@@ -60,33 +61,33 @@
     const bool due = changed_ || sources_.nextChange(publishedAt_) <= sched_.now();
     if (due && !gathering()) publish();
     keep();
-    const Ns next = std::min(
+    const Nanoseconds next = std::min(
         {agenda_.nextAt(), sources_.nextChange(publishedAt_), sched_.now() + kLongestPause});
     const bool waits = gathering() && gatherUntil_ != 0;
-    const sched::Until until{waits ? std::min(next, gatherUntil_) : next, nullptr};
+    const sched::Deadline until{waits ? std::min(next, gatherUntil_) : next, nullptr};
     co_await sched_.wait(touched_, until);
   }
 }
 
-// Guards the first few servers of a life, whose addresses come first, against the reqs of all.
-bool Names::gathering() {
+// Guards the first few servers of a life, whose addresses come first, against the requests of all.
+bool DnsDiscovery::gathering() {
   const bool asked = agenda_.open() > 0 || agenda_.nextAt() <= sched_.now();
   gathered_ = gathered_ || (gatherUntil_ != 0 && (!asked || sched_.now() >= gatherUntil_));
   return !gathered_;
 }
 
-net::Task<Asked> Names::ask(const resolver::Ask &ask) {
-  const net::Until until{sched_.now() + ask.within, nullptr};
+net::Task<Asked> DnsDiscovery::ask(const dns_resolution::Ask &ask) {
+  const net::Deadline until{sched_.now() + ask.within, nullptr};
   auto &server = *(*servers_)[ask.server];
   counters_.query(ask.tcp);
   if (ask.tcp) co_return co_await server.line->ask(ask.sent, until);
   co_return co_await askOverUdp(sched_, budget_, server.at, ask.sent, until);
 }
 
-net::Task<> Names::flight(dns::Question question) {
+net::Task<> DnsDiscovery::flight(dns::Question question) {
   const auto servers = servers_; // they may move meanwhile
   const auto health = health_;
-  resolver::Lookup lookup(question, naming_.resolution, *health);
+  dns_resolution::Lookup lookup(question, naming_.resolution, *health);
   while (!lookup.over()) {
     const auto next = lookup.next(sched_.now(), chance_);
     if (servers != servers_) break;
@@ -108,7 +109,7 @@
   touched_.notify();
 }
 
-void Names::settle(const dns::Question &question, const Answer &answer) {
+void DnsDiscovery::settle(const dns::Question &question, const Answer &answer) {
   const auto set = std::find(sets_.begin(), sets_.end(), question);
   if (set != sets_.end())
     settleSet(static_cast<std::size_t>(set - sets_.begin()), question, answer);
@@ -118,14 +119,14 @@
   if (answer.said != Said::failed) unkept_ = true;
 }
 
-void Names::settleSet(std::size_t set, const dns::Question &question, const Answer &answer) {
+void DnsDiscovery::settleSet(std::size_t set, const dns::Question &question, const Answer &answer) {
   heard_[set] = true;
   lastFailure_[set] = answer.said == Said::records  ? ""
                       : answer.said == Said::failed ? answer.why
                       : answer.said == Said::denied ? "no such name"
                                                     : "the name has no SRV records";
   auto word = wordOf(answer.said);
-  std::vector<sources::Target> targets;
+  std::vector<endpoint_merge::Target> targets;
   for (const auto &r : answer.records)
     if (!r.target.empty()) targets.push_back({r.target, r.port, r.priority, r.weight});
   if (word == Word::records && targets.empty()) {
@@ -140,16 +141,17 @@
 }
 
 // Addresses that came along spare a look-up each.
-void Names::takeAdditional(const Answer &answer) {
-  std::map<std::string, std::pair<std::vector<std::string>, Ns>> byHost;
+void DnsDiscovery::takeAdditional(const Answer &answer) {
+  std::map<std::string, std::pair<std::vector<std::string>, Nanoseconds>> byHost;
   for (const auto &r : answer.additional) {
     if (r.type != dns::Type::a) continue;
     auto &[addresses,
            lifetime] = byHost.try_emplace(r.owner, std::vector<std::string>{}, INT64_MAX).first->second;
     addresses.push_back(r.address);
-    lifetime = std::min<Ns>(lifetime, r.ttl * kSec);
+    lifetime = std::min<Nanoseconds>(lifetime, r.ttl * kSecond);
   }
-  const auto wanted = byHost.empty() ? std::vector<sources::Sources::Wanted>{} : sources_.hostsWanted();
+  const auto wanted = byHost.empty() ? std::vector<endpoint_merge::EndpointMerge::Wanted>{}
+                                     : sources_.hostsWanted();
   for (const auto &w : wanted) {
     const auto it = byHost.find(w.host);
     if (it == byHost.end()) continue;
@@ -158,12 +160,12 @@
   }
 }
 
-void Names::settleHost(const dns::Question &question, const Answer &answer) {
+void DnsDiscovery::settleHost(const dns::Question &question, const Answer &answer) {
   const auto &host = question.name;
   if (question.type == dns::Type::txt) {
     if (answer.said == Said::failed) return;
     int release = -1;
-    for (const auto &r : answer.records) release = std::max(release, sources::releaseIn(r.text));
+    for (const auto &r : answer.records) release = std::max(release, endpoint_merge::releaseIn(r.text));
     return sources_.told(host, release);
   }
   // IPv4 before IPv6: the latter is asked for only where there is none of the former.
@@ -178,7 +180,7 @@
     agenda_.hasten(question, naming_.prudence.askAgain, sched_.now());
 }
 
-void Names::wantHosts() {
+void DnsDiscovery::wantHosts() {
   std::map<std::string, bool> wanted;
   for (const auto &w : sources_.hostsWanted()) wanted[w.host] = w.release;
   for (const auto &[host, release] : hosts_)
@@ -191,14 +193,14 @@
   hosts_.swap(wanted);
 }
 
-void Names::publish() {
+void DnsDiscovery::publish() {
   changed_ = false;
   publishedAt_ = sched_.now();
   if (changed) changed();
   const auto &figures = sources_.figures();
-  Ns oldest = 0;
+  Nanoseconds oldest = 0;
   for (const auto &question : sets_) {
-    const Ns until = agenda_.goodUntil(question);
+    const Nanoseconds until = agenda_.goodUntil(question);
     if (until != 0) oldest = std::max(oldest, sched_.now() - until);
   }
   counters_.set(figures);
@@ -207,7 +209,7 @@
 }
 
 // One line where the condition of the set changes, with its figures.
-void Names::tellMode(const sources::Figures &f) {
+void DnsDiscovery::tellMode(const endpoint_merge::Figures &f) {
   const auto &was = mode_;
   const auto same = [](auto a, auto b) { return (a > 0) == (b > 0); };
   const bool kept = moded_ && same(was.servers, f.servers) && same(was.staleSets, f.staleSets) &&
@@ -235,19 +237,19 @@
                    {"list_down", f.listDown}});
 }
 
-bool Names::settled() const {
+bool DnsDiscovery::settled() const {
   if (std::find(heard_.begin(), heard_.end(), false) != heard_.end()) return false;
   return agenda_.open() == 0 && agenda_.nextAt() > sched_.now();
 }
 
-std::string Names::sealed() const {
-  return store::seal(kind_, writePast(sources_.past(), unixAtZero_, sched_.now()));
+std::string DnsDiscovery::sealed() const {
+  return storage::seal(kind_, writePast(sources_.past(), unixAtZero_, sched_.now()));
 }
 
 // As soon as no look-up is out, or after a while all the same.
-Ns Names::keepAt(bool whole) const { return keptAt_ + (whole ? kKeepEvery : kKeepAtLast); }
+Nanoseconds DnsDiscovery::keepAt(bool whole) const { return keptAt_ + (whole ? kKeepEvery : kKeepAtLast); }
 
-void Names::keep() {
+void DnsDiscovery::keep() {
   if (writer_ == nullptr) return;
   if (const auto fault = writer_->lastFault(); !fault.empty())
     log_.warning("the state of names is not kept", {{"why", fault}});
@@ -260,29 +262,29 @@
   writer_->put(sealed());
 }
 
-void Names::saveNow() {
+void DnsDiscovery::saveNow() {
   if (writer_ == nullptr) return;
   writer_ = nullptr; // what was handed over is saved first
   if (sources_.figures().servers == 0) return;
-  const auto fault = store::save(path_, sealed());
+  const auto fault = storage::save(path_, sealed());
   if (!fault.empty()) log_.warning("the state of names is not kept", {{"why", fault}});
 }
 
-bool Names::keepIn(const std::string &path, store::Kind kind, sched::Ns unixAtZero) {
+bool DnsDiscovery::keepIn(const std::string &path, storage::Kind kind, sched::Nanoseconds unixAtZero) {
   path_ = path;
   kind_ = std::move(kind);
   kind_.format = kSnapshotFormat;
   unixAtZero_ = unixAtZero;
-  const auto opened = store::load(path, kind_);
-  Ns savedAt = 0;
-  auto past = opened.refusal == store::Opened::none ? readPast(opened.payload, unixAtZero, savedAt)
-                                                    : std::nullopt;
-  writer_ = std::make_unique<store::Writer>(path);
+  const auto opened = storage::load(path, kind_);
+  Nanoseconds savedAt = 0;
+  auto past = opened.refusal == storage::Opened::none ? readPast(opened.payload, unixAtZero, savedAt)
+                                                      : std::nullopt;
+  writer_ = std::make_unique<storage::Writer>(path);
   if (!past) {
-    if (opened.refusal != store::Opened::missing)
-      log_.warning(
-          "the kept state of names is refused",
-          {{"file", path}, {"why", opened.refusal == store::Opened::none ? "it can't be read" : opened.why}});
+    if (opened.refusal != storage::Opened::missing)
+      log_.warning("the kept state of names is refused",
+                   {{"file", path},
+                    {"why", opened.refusal == storage::Opened::none ? "it can't be read" : opened.why}});
     return false;
   }
   gathered_ = true;
@@ -293,9 +295,9 @@
     agenda_.restore(question, set.goodAt, set.goodUntil);
   }
   log_.info("the kept state of names is served until names answer",
-            {{"file", path}, {"age_s", (sched_.now() - savedAt) / kSec}, {"sets", past->sets.size()}});
+            {{"file", path}, {"age_s", (sched_.now() - savedAt) / kSecond}, {"sets", past->sets.size()}});
   changed_ = true;
   return true;
 }
 
-} // namespace myrtlehead::names
+} // namespace myrtlehead::dns_discovery
--- a/src/follow/names/names.h
+++ b/src/control/dns/dns_discovery.h
@@ -3,22 +3,22 @@
 #pragma once
 
 #include "base/log/log.h"
-#include "base/store/store.h"
-#include "decide/resolver/agenda.h"
-#include "decide/sources/sources.h"
-#include "follow/names/asking.h"
-#include "follow/names/counters.h"
-#include "follow/names/naming.h"
+#include "base/storage/atomic_file.h"
+#include "control/dns/metrics.h"
+#include "control/dns/query_client.h"
+#include "control/dns/settings.h"
+#include "policy/dns_refresh_schedule.h"
+#include "policy/endpoint_merge.h"
 
 #include <functional>
 
-namespace myrtlehead::names {
+namespace myrtlehead::dns_discovery {
 
-class Names {
+class DnsDiscovery {
 public:
   // `naming` and `sources` must live as long.
-  Names(net::Scheduler &sched, net::Descriptors &budget, sources::Sources &sources, const Naming &naming,
-        std::uint64_t seed, log::Log log, Counters &counters);
+  DnsDiscovery(net::Scheduler &sched, net::DescriptorBudget &budget, endpoint_merge::EndpointMerge &sources,
+               const DnsSettings &naming, std::uint64_t seed, log::Log log, DnsMetrics &counters);
 
   // Called whenever the merged set may have changed; asks the sources for it.
   std::function<void()> changed;
@@ -28,12 +28,12 @@
 
   // Keeps the state in this file from now on, as `kind`; takes up what stands there. False: nothing was taken
   // up.
-  bool keepIn(const std::string &path, store::Kind kind, sched::Ns unixAtZero);
+  bool keepIn(const std::string &path, storage::Kind kind, sched::Nanoseconds unixAtZero);
   void saveNow(); // at the program's end
 
   // For whoever asks once: whether every set and address has had an answer, or has failed once.
   bool settled() const;
-  const resolver::Agenda &agenda() const { return agenda_; }
+  const dns_resolution::RefreshSchedule &agenda() const { return agenda_; }
   const std::string &lastFailure(std::size_t set) const { return lastFailure_[set]; }
 
 private:
@@ -42,45 +42,45 @@
     std::shared_ptr<TcpLine> line;
   };
   net::Task<> flight(dns::Question question);
-  net::Task<Asked> ask(const resolver::Ask &ask);
-  void settle(const dns::Question &question, const resolver::Answer &answer);
-  void settleSet(std::size_t set, const dns::Question &question, const resolver::Answer &answer);
-  void settleHost(const dns::Question &question, const resolver::Answer &answer);
+  net::Task<Asked> ask(const dns_resolution::Ask &ask);
+  void settle(const dns::Question &question, const dns_resolution::Answer &answer);
+  void settleSet(std::size_t set, const dns::Question &question, const dns_resolution::Answer &answer);
+  void settleHost(const dns::Question &question, const dns_resolution::Answer &answer);
   void wantHosts();
-  void takeAdditional(const resolver::Answer &answer);
+  void takeAdditional(const dns_resolution::Answer &answer);
   bool gathering();
   void publish();
-  void tellMode(const sources::Figures &now);
+  void tellMode(const endpoint_merge::Figures &now);
   void keep();
-  sched::Ns keepAt(bool whole) const;
+  sched::Nanoseconds keepAt(bool whole) const;
   std::string sealed() const;
 
   net::Scheduler &sched_;
-  net::Descriptors &budget_;
-  sources::Sources &sources_;
-  const Naming &naming_;
+  net::DescriptorBudget &budget_;
+  endpoint_merge::EndpointMerge &sources_;
+  const DnsSettings &naming_;
   log::Log log_;
-  Counters &counters_;
+  DnsMetrics &counters_;
   std::knuth_b chance_;
-  resolver::Agenda agenda_;
+  dns_resolution::RefreshSchedule agenda_;
   std::shared_ptr<std::vector<std::unique_ptr<Server>>> servers_; // a flight keeps those that it began with
-  std::shared_ptr<resolver::NameServers> health_;
+  std::shared_ptr<dns_resolution::NameServers> health_;
   std::vector<dns::Question> sets_; // by the sources' numbers
   std::vector<std::string> lastFailure_;
   std::vector<bool> heard_; // by set: answered or failed once
   std::map<std::string, bool> hosts_;
-  sched::Signal touched_;
+  sched::Event touched_;
   bool changed_ = false, gathered_ = false;
-  sched::Ns gatherUntil_ = 0; // of the first answer; 0: none yet
-  sched::Ns publishedAt_ = 0;
-  sources::Figures mode_;
+  sched::Nanoseconds gatherUntil_ = 0; // of the first answer; 0: none yet
+  sched::Nanoseconds publishedAt_ = 0;
+  endpoint_merge::Figures mode_;
   bool moded_ = false;
 
-  std::unique_ptr<store::Writer> writer_;
+  std::unique_ptr<storage::Writer> writer_;
   std::string path_;
-  store::Kind kind_;
-  sched::Ns unixAtZero_ = 0, keptAt_ = 0;
+  storage::Kind kind_;
+  sched::Nanoseconds unixAtZero_ = 0, keptAt_ = 0;
   bool unkept_ = false; // something good was told since the state was last kept
 };
 
-} // namespace myrtlehead::names
+} // namespace myrtlehead::dns_discovery
--- a/src/follow/names/counters.cpp
+++ b/src/control/dns/metrics.cpp
@@ -1,15 +1,15 @@
-#include "follow/names/counters.h"
+#include "control/dns/metrics.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
 #include <prometheus/registry.h>
 
-namespace myrtlehead::names {
+namespace myrtlehead::dns_discovery {
 
 using prometheus::BuildCounter;
 using prometheus::BuildGauge;
 
-struct Counters::Families {
+struct DnsMetrics::Families {
   explicit Families(prometheus::Registry &r)
       : queries(BuildCounter()
                     .Name("myrtlehead_names_queries_total")
@@ -42,21 +42,21 @@
   prometheus::Gauge &staleness;
 };
 
-Counters::Counters(prometheus::Registry &registry) : f_(std::make_unique<Families>(registry)) {}
-Counters::~Counters() = default;
+DnsMetrics::DnsMetrics(prometheus::Registry &registry) : f_(std::make_unique<Families>(registry)) {}
+DnsMetrics::~DnsMetrics() = default;
 
-void Counters::query(bool tcp) { f_->queries.Add({{"transport", tcp ? "tcp" : "udp"}}).Increment(); }
+void DnsMetrics::query(bool tcp) { f_->queries.Add({{"transport", tcp ? "tcp" : "udp"}}).Increment(); }
 
-void Counters::mishap(resolver::Mishap what) {
+void DnsMetrics::mishap(dns_resolution::Mishap what) {
   constexpr const char *kWords[] = {"timed_out", "unreachable", "unreadable", "broken"};
   f_->mishaps.Add({{"kind", kWords[static_cast<int>(what)]}}).Increment();
 }
 
-void Counters::lookup(resolver::Said said) { f_->lookups.Add({{"result", word(said)}}).Increment(); }
+void DnsMetrics::lookup(dns_resolution::Said said) { f_->lookups.Add({{"result", word(said)}}).Increment(); }
 
-void Counters::staleness(double seconds) { f_->staleness.Set(seconds); }
+void DnsMetrics::staleness(double seconds) { f_->staleness.Set(seconds); }
 
-void Counters::set(const sources::Figures &f) {
+void DnsMetrics::set(const endpoint_merge::Figures &f) {
   const auto put = [](auto &family, const char *label, const char *value, auto figure) {
     family.Add({{label, value}}).Set(static_cast<double>(figure));
   };
@@ -78,4 +78,4 @@
   put(f_->conditions, "kind", "list_down", f.listDown);
 }
 
-} // namespace myrtlehead::names
+} // namespace myrtlehead::dns_discovery
--- a/src/follow/names/asking.cpp
+++ b/src/control/dns/query_client.cpp
@@ -1,17 +1,17 @@
-#include "follow/names/asking.h"
+#include "control/dns/query_client.h"
 
-namespace myrtlehead::names {
+namespace myrtlehead::dns_discovery {
 
-using net::Cause;
-using resolver::Mishap;
+using dns_resolution::Mishap;
+using net::ErrorCode;
 
 namespace {
-using sched::Ns;
-constexpr Ns kIdle = 5'000'000'000; // a connection without a query
+using sched::Nanoseconds;
+constexpr Nanoseconds kIdle = 5'000'000'000; // a connection without a query
 } // namespace
 
-net::Task<Asked> askOverUdp(net::Scheduler &sched, net::Descriptors &budget, net::Address server,
-                            const dns::Sent &sent, net::Until until) {
+net::Task<Asked> askOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
+                            const dns::Sent &sent, net::Deadline until) {
   Asked out;
   const auto socket = net::datagramsTo(sched, budget, server);
   if (socket == nullptr || !socket->writeNow(dns::writeQuery(sent))) {
@@ -21,9 +21,9 @@
   net::Buffer buffer;
   for (;;) {
     const auto cause = co_await socket->read(buffer, until);
-    if (cause == Cause::ended) continue; // an empty datagram
-    if (cause != Cause::none) {
-      out.mishap = cause == Cause::timedOut ? Mishap::timedOut : Mishap::unreachable;
+    if (cause == ErrorCode::closedByPeer) continue; // an empty datagram
+    if (cause != ErrorCode::none) {
+      out.mishap = cause == ErrorCode::timedOut ? Mishap::timedOut : Mishap::unreachable;
       co_return out;
     }
     const auto reading = dns::readAnswer(buffer.view(), sent, out.message);
@@ -36,10 +36,10 @@
   }
 }
 
-net::Task<std::shared_ptr<TcpLine::Connection>> TcpLine::connection(net::Until until) {
+net::Task<std::shared_ptr<TcpLine::Connection>> TcpLine::connection(net::Deadline until) {
   while (opening_) {
     const auto woken = co_await sched_.wait(openedOrNot_, until);
-    if (woken != sched::Woken::signalled) co_return nullptr;
+    if (woken != sched::WakeReason::notified) co_return nullptr;
   }
   if (open_ != nullptr) co_return open_;
   opening_ = true;
@@ -55,7 +55,7 @@
   co_return open_;
 }
 
-net::Task<Asked> TcpLine::ask(dns::Sent sent, net::Until until) {
+net::Task<Asked> TcpLine::ask(dns::Sent sent, net::Deadline until) {
   Pending pending;
   pending.asked.mishap = Mishap::unreachable;
   const auto c = co_await connection(until);
@@ -70,19 +70,19 @@
   if (!c->socket->writeNow(query)) close(*c, Mishap::broken);
   if (!pending.over) {
     const auto woken = co_await sched_.wait(pending.done, until);
-    if (woken != sched::Woken::signalled) {
+    if (woken != sched::WakeReason::notified) {
       c->pending.erase(sent.id);
       pending.asked.mishap = Mishap::timedOut;
       // Guards against one that hangs: the next query takes a new connection.
       if (open_ == c) open_ = nullptr;
-      if (c->pending.empty()) c->closed.request();
+      if (c->pending.empty()) c->closed.cancel();
     }
   }
   co_return pending.asked;
 }
 
 void TcpLine::close(Connection &c, Mishap why) {
-  c.closed.request();
+  c.closed.cancel();
   if (open_.get() == &c) open_ = nullptr;
   for (auto &[id, pending] : c.pending) {
     pending->over = true;
@@ -123,14 +123,14 @@
 net::Task<> TcpLine::read(std::shared_ptr<TcpLine> line, std::shared_ptr<Connection> c) {
   for (;;) {
     while (line->take(*c)) {}
-    const Ns idleEnd = line->sched_.now() + kIdle;
-    const net::Until until{idleEnd, &c->closed};
+    const Nanoseconds idleEnd = line->sched_.now() + kIdle;
+    const net::Deadline until{idleEnd, &c->closed};
     const auto cause = co_await c->socket->read(c->buffer, until);
-    if (cause == Cause::none) continue;
-    if (cause == Cause::timedOut && !c->pending.empty()) continue;
+    if (cause == ErrorCode::none) continue;
+    if (cause == ErrorCode::timedOut && !c->pending.empty()) continue;
     line->close(*c, Mishap::broken);
     co_return;
   }
 }
 
-} // namespace myrtlehead::names
+} // namespace myrtlehead::dns_discovery
--- a/src/follow/names/naming.h
+++ b/src/control/dns/settings.h
@@ -2,13 +2,13 @@
 #pragma once
 
 #include "base/net/socket.h"
-#include "decide/resolver/resolution.h"
-#include "decide/sources/sources.h"
+#include "policy/dns_settings.h"
+#include "policy/endpoint_merge.h"
 
 #include <string>
 #include <vector>
 
-namespace myrtlehead::names {
+namespace myrtlehead::dns_discovery {
 
 // One SRV name. Servers that it gives and that tell no build of their own have its `release`.
 struct NamedSet {
@@ -18,14 +18,14 @@
   bool operator==(const NamedSet &) const = default;
 };
 
-struct Naming {
+struct DnsSettings {
   std::vector<net::Address> servers; // of names; empty: no look-ups
   std::vector<NamedSet> sets;
-  resolver::Resolution resolution;
-  sources::Prudence prudence;
-  sched::Ns startSpread =
+  dns_resolution::ResolutionSettings resolution;
+  endpoint_merge::MergeSettings prudence;
+  sched::Nanoseconds startSpread =
       2'000'000'000; // ns; the first look-ups of a life fall within, if there is something to serve from
-  int subset = 0;    // servers held by a marshal, about; 0: all
+  int subset = 0;    // servers held by an instance, about; 0: all
 };
 
-} // namespace myrtlehead::names
+} // namespace myrtlehead::dns_discovery
--- a/src/follow/names/snapshot.cpp
+++ b/src/control/dns/snapshot.cpp
@@ -1,47 +1,47 @@
-#include "follow/names/snapshot.h"
+#include "control/dns/snapshot.h"
 
 #include <nlohmann/json.hpp>
 
-namespace myrtlehead::names {
+namespace myrtlehead::dns_discovery {
 
 namespace {
 
+using endpoint_merge::Past;
 using nlohmann::json;
-using sources::Past;
 
-constexpr Ns kLongest = 36'600 * (86'400 * kSec);
+constexpr Nanoseconds kLongest = 36'600 * (86'400 * kSecond);
 
 // A time of nought stands for long ago, or never, on both sides.
 struct Clock {
-  Ns unixAtZero;
-  std::int64_t out(Ns t) const { return t == 0 ? 0 : (t + unixAtZero) / kMs; }
-  Ns in(const json &v) const {
+  Nanoseconds unixAtZero;
+  std::int64_t out(Nanoseconds t) const { return t == 0 ? 0 : (t + unixAtZero) / kMillisecond; }
+  Nanoseconds in(const json &v) const {
     const auto ms = v.get<std::int64_t>();
-    if (ms < 0 || ms > kLongest / kMs) throw std::out_of_range("time");
-    return ms == 0 ? 0 : ms * kMs - unixAtZero;
+    if (ms < 0 || ms > kLongest / kMillisecond) throw std::out_of_range("time");
+    return ms == 0 ? 0 : ms * kMillisecond - unixAtZero;
   }
   // For a start, which the guard takes for long ago where it lies before this clock's nought.
-  Ns start(const json &v) const { return std::max<Ns>(in(v), 0); }
+  Nanoseconds start(const json &v) const { return std::max<Nanoseconds>(in(v), 0); }
 };
 
-json entryOut(const sources::Entry &e, const Clock &clock) {
-  const auto &l = e.listing;
+json entryOut(const endpoint_merge::Entry &e, const Clock &clock) {
+  const auto &l = e.info;
   return {{"name", e.name},
           {"address", e.address},
           {"build", l.build},
           {"zone", l.zone},
           {"cell", l.cell},
-          {"start", clock.out(l.start)},
-          {"drains", l.mode == Mode::draining}};
+          {"start", clock.out(l.startedAt)},
+          {"drains", l.state == EndpointState::draining}};
 }
 
-sources::Entry entryIn(const json &v, const Clock &clock) {
-  sources::Entry e{v.at("name"), v.at("address"), {}};
-  e.listing.build = v.at("build");
-  e.listing.zone = v.at("zone");
-  e.listing.cell = v.at("cell");
-  e.listing.start = clock.start(v.at("start"));
-  e.listing.mode = v.at("drains").get<bool>() ? Mode::draining : Mode::ready;
+endpoint_merge::Entry entryIn(const json &v, const Clock &clock) {
+  endpoint_merge::Entry e{v.at("name"), v.at("address"), {}};
+  e.info.build = v.at("build");
+  e.info.zone = v.at("zone");
+  e.info.cell = v.at("cell");
+  e.info.startedAt = clock.start(v.at("start"));
+  e.info.state = v.at("drains").get<bool>() ? EndpointState::draining : EndpointState::ready;
   return e;
 }
 
@@ -63,7 +63,7 @@
   return set;
 }
 
-json timesOut(const std::vector<std::pair<std::string, Ns>> &times, const Clock &clock) {
+json timesOut(const std::vector<std::pair<std::string, Nanoseconds>> &times, const Clock &clock) {
   json out = json::array();
   for (const auto &[address, at] : times) out.push_back({address, clock.out(at)});
   return out;
@@ -72,13 +72,15 @@
 bool bounded(const Past &past) {
   std::size_t servers = 0;
   for (const auto &set : past.sets) servers += set.servers.size();
-  return servers <= 2 * sources::kMostServers && past.hosts.size() <= 2 * sources::kMostServers &&
-         past.departed.size() <= sources::kMostServers && past.starts.size() <= sources::kMostServers;
+  return servers <= 2 * endpoint_merge::kMostServers &&
+         past.hosts.size() <= 2 * endpoint_merge::kMostServers &&
+         past.departed.size() <= endpoint_merge::kMostServers &&
+         past.starts.size() <= endpoint_merge::kMostServers;
 }
 
 } // namespace
 
-std::string writePast(const Past &past, Ns unixAtZero, Ns now) {
+std::string writePast(const Past &past, Nanoseconds unixAtZero, Nanoseconds now) {
   const Clock clock{unixAtZero};
   json sets = json::array(), hosts = json::array(), listed = json::array();
   for (const auto &set : past.sets) sets.push_back(setOut(set, clock));
@@ -93,7 +95,7 @@
       .dump();
 }
 
-std::optional<Past> readPast(const std::string &text, Ns unixAtZero, Ns &savedAt) {
+std::optional<Past> readPast(const std::string &text, Nanoseconds unixAtZero, Nanoseconds &savedAt) {
   const Clock clock{unixAtZero};
   try {
     const auto in = json::parse(text);
@@ -112,4 +114,4 @@
   }
 }
 
-} // namespace myrtlehead::names
+} // namespace myrtlehead::dns_discovery
--- a/src/follow/peers/datagrams.cpp
+++ b/src/control/peers/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "follow/peers/datagrams.h"
+#include "control/peers/peer_transport.h"
 
 #include <algorithm>
 #include <array>
@@ -12,16 +12,16 @@
 }
 
 // What can't be sent at once is lost, as any datagram may be.
-net::Task<> Datagrams::send() {
+net::Task<> PeerTransport::send() {
   for (;;) {
-    const auto note = co_await marshal_.nextNote();
+    const auto note = co_await router_.nextPeerMessage();
     if (note.bytes.size() > kMostBytes || note.to >= static_cast<int>(peers_.size())) continue;
     const auto &to = note.to < 0 ? all_ : peers_[static_cast<std::size_t>(note.to)];
     sendto(socket_->fd(), note.bytes.data(), note.bytes.size(), MSG_NOSIGNAL, to.raw(), to.size());
   }
 }
 
-net::Task<> Datagrams::receive() {
+net::Task<> PeerTransport::receive() {
   std::array<char, kMostBytes + 1> bytes; // one more shows a datagram that is too long
   for (unsigned n = 1;; ++n) {
     if (n % kTurn == 0) co_await sched_.sleep(0);
@@ -32,7 +32,8 @@
     if (got <= 0 || static_cast<std::size_t>(got) > kMostBytes) continue;
     const auto peer = std::find(peers_.begin(), peers_.end(), from);
     if (peer == peers_.end()) continue;
-    marshal_.heard(static_cast<int>(peer - peers_.begin()), {bytes.data(), static_cast<std::size_t>(got)});
+    router_.onPeerMessage(static_cast<int>(peer - peers_.begin()),
+                          {bytes.data(), static_cast<std::size_t>(got)});
   }
 }
 
--- a/src/follow/peers/datagrams.h
+++ b/src/control/peers/peer_transport.h
@@ -1,18 +1,18 @@
-// Notes between marshals: datagrams, told apart by the sender's address.
+// Notes between instances: datagrams, told apart by the sender's address.
 #pragma once
 
 #include "base/net/socket.h"
-#include "marshal/marshal.h"
+#include "router/router.h"
 
 namespace myrtlehead::peers {
 
 constexpr std::size_t kMostBytes = 256;
 
-class Datagrams {
+class PeerTransport {
 public:
-  Datagrams(net::Scheduler &sched, net::Descriptors &budget, Marshal &marshal, net::Address listen,
-            std::vector<net::Address> peers, net::Address all)
-      : sched_(sched), socket_(net::datagramsAt(sched, budget, listen)), marshal_(marshal),
+  PeerTransport(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, net::Address listen,
+                std::vector<net::Address> peers, net::Address all)
+      : sched_(sched), socket_(net::datagramsAt(sched, budget, listen)), router_(router),
         peers_(std::move(peers)), all_(all) {}
 
   net::Task<> send();
@@ -22,7 +22,7 @@
 private:
   net::Scheduler &sched_;
   std::unique_ptr<net::Socket> socket_;
-  Marshal &marshal_;
+  Router &router_;
   std::vector<net::Address> peers_;
   net::Address all_;
 };
--- a/src/follow/platform/words.cpp
+++ b/src/control/rollout/codec.cpp
@@ -1,9 +1,9 @@
-#include "follow/platform/words.h"
+#include "control/rollout/codec.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace myrtlehead::platform {
+namespace myrtlehead::rollout {
 
 namespace {
 
@@ -18,8 +18,8 @@
 
 } // namespace
 
-std::optional<News> readNews(const http::Fields &fields) {
-  News news;
+std::optional<RolloutState> readRolloutState(const http::Fields &fields) {
+  RolloutState news;
   double build = 0, stage = 0, age = 0;
   if (!number(http::value(fields, "build"), 0, 65535, build) ||
       !number(http::value(fields, "stage"), 0, 255, stage) ||
@@ -32,15 +32,15 @@
   if (i == 4) return std::nullopt;
   news.build = static_cast<int>(build);
   news.stage = static_cast<int>(stage);
-  news.phase = static_cast<Phase>(i);
-  news.age = static_cast<Ns>(age * static_cast<double>(kMs));
+  news.phase = static_cast<RolloutPhase>(i);
+  news.age = static_cast<Nanoseconds>(age * static_cast<double>(kMillisecond));
   return news;
 }
 
-std::optional<News> readNews(const json::Value &object) {
+std::optional<RolloutState> readRolloutState(const json::Value &object) {
   http::Fields fields;
   for (const auto &[name, value] : object.fields) fields.emplace_back(name, value.text);
-  return readNews(fields);
+  return readRolloutState(fields);
 }
 
 std::optional<Flag> readFlag(const http::Fields &fields) {
@@ -49,7 +49,7 @@
   flag.server = http::value(fields, "server");
   flag.route = http::value(fields, "class");
   if (flag.server.empty() || !number(http::value(fields, "age_ms"), 0, 1e12, age)) return std::nullopt;
-  flag.age = static_cast<Ns>(age * static_cast<double>(kMs));
+  flag.age = static_cast<Nanoseconds>(age * static_cast<double>(kMillisecond));
   return flag;
 }
 
@@ -58,14 +58,14 @@
   http::Fields leaves;
   if (!http::parseXml(body, leaves)) return std::nullopt;
   if (status == 200) {
-    const auto news = readNews(leaves);
-    return news ? std::optional(Answer{Reply::ok, news}) : std::nullopt;
+    const auto news = readRolloutState(leaves);
+    return news ? std::optional(Answer{VoteReply::accepted, news}) : std::nullopt;
   }
   const auto code = http::value(leaves, "Code");
-  if (status == 400 && code == "BUSY") return Answer{Reply::full, {}};
-  if (status == 400 && code == "STALE") return Answer{Reply::moot, {}};
+  if (status == 400 && code == "BUSY") return Answer{VoteReply::rateLimited, {}};
+  if (status == 400 && code == "STALE") return Answer{VoteReply::outdated, {}};
   if ((status == 500 && code == "FAILED") || (status == 400 && code == "SYNTAX"))
-    return Answer{Reply::error, {}};
+    return Answer{VoteReply::error, {}};
   return std::nullopt;
 }
 
@@ -76,4 +76,4 @@
                           {"verdict", std::string(kVerdicts[static_cast<int>(vote.verdict)])}});
 }
 
-} // namespace myrtlehead::platform
+} // namespace myrtlehead::rollout
--- a/src/follow/platform/words.h
+++ b/src/control/rollout/codec.h
@@ -3,28 +3,28 @@
 
 #include "format/http/http.h"
 #include "format/json/json.h"
-#include "guard/terms.h"
+#include "policy/types.h"
 
 #include <optional>
 
-namespace myrtlehead::platform {
+namespace myrtlehead::rollout {
 
-std::optional<News> readNews(const http::Fields &fields);
-std::optional<News> readNews(const json::Value &object);
+std::optional<RolloutState> readRolloutState(const http::Fields &fields);
+std::optional<RolloutState> readRolloutState(const json::Value &object);
 
 struct Flag {
   std::string server, route;
-  Ns age = 0;
+  Nanoseconds age = 0;
 };
 std::optional<Flag> readFlag(const http::Fields &fields);
 
 // What a call came to: its answer, and the news in it where there is any.
 struct Answer {
-  Reply reply = Reply::timedOut;
-  std::optional<News> news;
+  VoteReply reply = VoteReply::timedOut;
+  std::optional<RolloutState> news;
 };
 std::optional<Answer> readAnswer(int status, std::string_view body); // nullopt: it can't be read
 
 std::string voteForm(const Vote &vote);
 
-} // namespace myrtlehead::platform
+} // namespace myrtlehead::rollout
--- a/src/front/clients/replies.cpp
+++ b/src/downstream/reply_queue.cpp
@@ -1,12 +1,13 @@
-#include "front/clients/replies.h"
+#include "downstream/reply_queue.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace myrtlehead::clients {
+namespace myrtlehead::downstream {
 
-bool holdsId(const std::deque<Reply> &replies, std::string_view id) {
-  return std::any_of(replies.begin(), replies.end(), [id](const Reply &reply) { return reply.id.is(id); });
+bool holdsId(const std::deque<PendingReply> &replies, std::string_view id) {
+  return std::any_of(replies.begin(), replies.end(),
+                     [id](const PendingReply &reply) { return reply.id.is(id); });
 }
 
 Batch ReplyQueue::take() {
@@ -31,4 +32,4 @@
   return out;
 }
 
-} // namespace myrtlehead::clients
+} // namespace myrtlehead::downstream
--- a/src/front/clients/replies.h
+++ b/src/downstream/reply_queue.h
@@ -2,7 +2,7 @@
 // all those ahead of it are. Plain state, no I/O.
 #pragma once
 
-#include "base/net/places.h"
+#include "base/net/memory_budget.h"
 
 #include <deque>
 #include <set>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <utility>
 
-namespace myrtlehead::clients {
+namespace myrtlehead::downstream {
 
 using OpenIds = std::set<std::string, std::less<>>;
 
@@ -37,28 +37,28 @@
 };
 
 // The answer to one request, and what stands behind it up to the next request's.
-struct Reply {
+struct PendingReply {
   bool complete = false;
   std::string text;
-  std::string after; // answers to messages behind the request that no node is asked for
-  net::Place place;  // of a large answer, until it has been written
+  std::string after;            // answers to messages behind the request that no endpoint is asked for
+  net::MemoryReservation place; // of a large answer, until it has been written
   OpenId id;
 };
 
 // Whether it is the id of one of them.
-bool holdsId(const std::deque<Reply> &replies, std::string_view id);
+bool holdsId(const std::deque<PendingReply> &replies, std::string_view id);
 
 // What may be written, with what it holds until that is done.
 struct Batch {
   std::string text;
-  std::deque<Reply> replies;
+  std::deque<PendingReply> replies;
 };
 
 class ReplyQueue {
 public:
   // The reply to a request that has been taken up. It keeps its address until it is taken.
-  Reply &add() { return replies_.emplace_back(); }
-  // Where the answer to a message goes that no node is asked for.
+  PendingReply &add() { return replies_.emplace_back(); }
+  // Where the answer to a message goes that no endpoint is asked for.
   std::string &tail() { return replies_.empty() ? text_ : replies_.back().after; }
   bool mayWrite() const { return !text_.empty() || (!replies_.empty() && replies_.front().complete); }
   Batch take(); // all that may be written
@@ -67,7 +67,7 @@
 
 private:
   std::string text_; // ahead of all replies
-  std::deque<Reply> replies_;
+  std::deque<PendingReply> replies_;
 };
 
-} // namespace myrtlehead::clients
+} // namespace myrtlehead::downstream
--- a/src/format/pg/message.h
+++ b/src/format/pg/message.h
@@ -9,8 +9,9 @@
 
 enum class Parsed { more, whole, bad };
 
-constexpr std::size_t kMostBytes = 256 * 1024;    // of a message from a client
-constexpr std::size_t kMostRow = 4 * 1024 * 1024; // of a node's row: what is stored may have come another way
+constexpr std::size_t kMostBytes = 256 * 1024; // of a message from a client
+constexpr std::size_t kMostRow = 4 * 1024 *
+                                 1024; // of an endpoint's row: what is stored may have come another way
 
 struct Message {
   char type = 0;
@@ -32,7 +33,7 @@
 // A text up to its closing zero, taken off the front; nullopt-like: false where there is none.
 bool takeText(std::string_view &body, std::string_view &text);
 
-// What a node says on a connection, message by message, in the one order that answers a statement: a
+// What an endpoint says on a connection, message by message, in the one order that answers a statement: a
 // RowDescription of one column, one DataRow of one column, CommandComplete, or an ErrorResponse; then
 // ReadyForQuery. Notices and ParameterStatus may stand anywhere. `bad` as soon as the bytes show it.
 class Reply {
@@ -42,7 +43,7 @@
 
 private:
   Part part(char type) const;
-  enum Due { anything, rowDue, completeDue, readyDue } due_ = anything;
+  enum DueActions { anything, rowDue, completeDue, readyDue } due_ = anything;
   int asides_ = 0;
 };
 
--- a/src/format/pg/statement.cpp
+++ b/src/format/pg/statement.cpp
@@ -238,7 +238,7 @@
     s.kind = Statement::ping;
     return s;
   }
-  // Guards the nodes, which close on what they can't read: only these two forms are passed on.
+  // Guards the endpoints, which close on what they can't read: only these two forms are passed on.
   if (!goesBy("select % from % where % = $", words) &&
       !goesBy("insert into % (%, %) values ($, $) returning %", words))
     return malformed(s, "0A000",
--- a/src/format/pg/statement.h
+++ b/src/format/pg/statement.h
@@ -1,4 +1,4 @@
-// A client's statement: what kind it is, and the names and values of the comment that travels with a req.
+// A client's statement: what kind it is, and the names and values of the comment that travels with a request.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 struct Statement {
   enum Kind {
-    req,       // to be passed to a node
+    req,       // to be passed to an endpoint
     empty,     // nothing but blanks and comments
     session,   // SET, RESET, DISCARD: answered here, without effect
     ping,      // SELECT 1
--- a/src/decide/custody/register.cpp
+++ b/src/policy/consensus_register.cpp
@@ -1,4 +1,4 @@
-#include "decide/custody/register.h"
+#include "policy/consensus_register.h"
 
 #include <algorithm>
 
--- a/src/decide/resolver/lookup.cpp
+++ b/src/policy/dns_lookup.cpp
@@ -1,15 +1,15 @@
-#include "decide/resolver/lookup.h"
+#include "policy/dns_lookup.h"
 
 #include <algorithm>
 
-namespace myrtlehead::resolver {
+namespace myrtlehead::dns_resolution {
 
 namespace {
 
-constexpr Ns kSec = 1'000'000'000;
+constexpr Nanoseconds kSecond = 1'000'000'000;
 constexpr int kFailuresToRest = 2;
-constexpr Ns kRest = kSec, kMostRest = 60 * kSec;
-constexpr Ns kTcpWait = 2 * kSec; // at least, for a connection and an answer
+constexpr Nanoseconds kRest = kSecond, kMostRest = 60 * kSecond;
+constexpr Nanoseconds kTcpWait = 2 * kSecond; // at least, for a connection and an answer
 
 // "_pg._tcp.maps.example" stands in "maps.example": what its server may speak of beside it.
 std::string_view zoneOf(std::string_view name) {
@@ -29,7 +29,7 @@
   return kWords[static_cast<int>(said)];
 }
 
-std::size_t NameServers::pick(const std::vector<int> &tried, Ns now, std::knuth_b &chance) const {
+std::size_t NameServers::pick(const std::vector<int> &tried, Nanoseconds now, std::knuth_b &chance) const {
   const int least = *std::min_element(tried.begin(), tried.end());
   std::vector<std::size_t> awake, all;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -41,13 +41,13 @@
                            [&](auto a, auto b) { return servers_[a].restUntil < servers_[b].restUntil; });
 }
 
-void NameServers::failed(std::size_t server, Ns now) {
+void NameServers::failed(std::size_t server, Nanoseconds now) {
   auto &s = servers_[server];
   if (++s.failures < kFailuresToRest) return;
   s.restUntil = now + std::min(kRest << std::min(s.failures - kFailuresToRest, 10), kMostRest);
 }
 
-Ask Lookup::next(Ns now, std::knuth_b &chance) {
+Ask Lookup::next(Nanoseconds now, std::knuth_b &chance) {
   const bool again = std::exchange(toTcp_, false);
   if (!again) {
     ask_.server = servers_.pick(tried_, now, chance);
@@ -66,7 +66,7 @@
 
 // Guards against answers made up by others: what does not keep the letter case is asked for over TCP, where
 // nobody but the server can answer.
-void Lookup::answered(const dns::Message &message, bool folded, Ns now) {
+void Lookup::answered(const dns::Message &message, bool folded, Nanoseconds now) {
   if (message.truncated || (folded && !ask_.tcp)) {
     if (ask_.tcp && ++truncations_ >= kMostTruncations) return failed("truncated over TCP", now);
     toTcp_ = true;
@@ -86,18 +86,18 @@
   }
 }
 
-void Lookup::mishap(Mishap what, Ns now) {
+void Lookup::mishap(Mishap what, Nanoseconds now) {
   constexpr const char *kWords[] = {"timed out", "unreachable", "unreadable", "broken off"};
   failed(std::string(kWords[static_cast<int>(what)]) + (ask_.tcp ? " over TCP" : ""), now);
 }
 
-void Lookup::failed(std::string why, Ns now) {
+void Lookup::failed(std::string why, Nanoseconds now) {
   servers_.failed(ask_.server, now);
   answer_.why = std::move(why);
   if (tries_ >= terms_.tries) end(Said::failed, -1);
 }
 
-void Lookup::end(Said said, Ns lifetime) {
+void Lookup::end(Said said, Nanoseconds lifetime) {
   over_ = true;
   answer_.said = said;
   answer_.lifetime = shortest_ < 0 ? lifetime : lifetime < 0 ? shortest_ : std::min(shortest_, lifetime);
@@ -114,24 +114,24 @@
         answer_.why = "too many aliases";
         return end(Said::failed, -1);
       }
-      const Ns ttl = r.ttl * kSec;
+      const Nanoseconds ttl = r.ttl * kSecond;
       shortest_ = shortest_ < 0 ? ttl : std::min(shortest_, ttl);
       now_.name = r.target;
       moved = true;
       break;
     }
   }
-  Ns lifetime = -1;
+  Nanoseconds lifetime = -1;
   for (const auto &r : message.answers) {
     if (r.type != now_.type || r.owner != now_.name) continue;
-    lifetime = lifetime < 0 ? r.ttl * kSec : std::min(lifetime, r.ttl * kSec);
+    lifetime = lifetime < 0 ? r.ttl * kSecond : std::min(lifetime, r.ttl * kSecond);
     answer_.records.push_back(r);
   }
   if (!answer_.records.empty()) {
     keepAdditional(message);
     return end(Said::records, lifetime);
   }
-  const Ns denial = message.denialSeconds ? *message.denialSeconds * kSec : -1;
+  const Nanoseconds denial = message.denialSeconds ? *message.denialSeconds * kSecond : -1;
   if (message.status == dns::Status::noSuchName) return end(Said::denied, denial);
   const bool askOn = ask_.sent.question.name != now_.name; // the alias leads out of this answer
   if (!askOn) return end(Said::empty, denial);
@@ -150,4 +150,4 @@
   }
 }
 
-} // namespace myrtlehead::resolver
+} // namespace myrtlehead::dns_resolution
--- a/src/decide/sources/sources.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -1,10 +1,10 @@
-#include "decide/sources/sources.h"
+#include "policy/endpoint_merge.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace myrtlehead::sources {
+namespace myrtlehead::endpoint_merge {
 
 namespace {
 
@@ -17,10 +17,10 @@
 // Guards the memory of departures against addresses that are ever new: the longest unmentioned go.
 template <class Map, class Time> void keepLatest(Map &map, std::size_t most, Time time) {
   if (map.size() <= most) return;
-  std::vector<Ns> times;
+  std::vector<Nanoseconds> times;
   for (const auto &[key, value] : map) times.push_back(time(value));
   std::nth_element(times.begin(), times.end() - static_cast<std::ptrdiff_t>(most), times.end());
-  const Ns least = times[times.size() - most];
+  const Nanoseconds least = times[times.size() - most];
   std::erase_if(map, [&](const auto &item) { return time(item.second) < least; });
 }
 
@@ -41,7 +41,7 @@
   return -1;
 }
 
-std::size_t Sources::follow(std::string name, int release, int zone) {
+std::size_t EndpointMerge::follow(std::string name, int release, int zone) {
   Set set;
   set.name = std::move(name);
   set.release = release;
@@ -50,12 +50,12 @@
   return sets_.size() - 1;
 }
 
-double Sources::penalty(const Known &known, Ns now) const {
+double EndpointMerge::penalty(const Known &known, Nanoseconds now) const {
   return known.penalty *
          std::exp2(-static_cast<double>(now - known.penaltyAt) / static_cast<double>(prudence_.flapHalfLife));
 }
 
-bool Sources::damped(Known &known, Ns now) const {
+bool EndpointMerge::damped(Known &known, Nanoseconds now) const {
   if (known.dampedSince == 0) return false;
   if (penalty(known, now) < prudence_.flapLeast || now - known.dampedSince >= prudence_.flapLongest) {
     known.dampedSince = 0;
@@ -64,7 +64,7 @@
   return known.dampedSince != 0;
 }
 
-void Sources::present(Set &set, const Target &target, bool first, Ns now) {
+void EndpointMerge::present(Set &set, const Target &target, bool first, Nanoseconds now) {
   hosts_.try_emplace(target.host);
   const auto [at, isNew] = set.targets.try_emplace({target.host, target.port});
   auto &known = at->second;
@@ -81,7 +81,7 @@
   if (known.penalty > prudence_.flapMost && known.dampedSince == 0) known.dampedSince = now;
 }
 
-void Sources::depart(Set &set, Ns now) {
+void EndpointMerge::depart(Set &set, Nanoseconds now) {
   for (auto &[key, known] : set.targets) {
     if (!known.missing) continue;
     known.missing = known.named = false;
@@ -92,7 +92,7 @@
   selected_ = false;
 }
 
-void Sources::believeLoss(Set &set, Word word, Ns now) {
+void EndpointMerge::believeLoss(Set &set, Word word, Nanoseconds now) {
   const bool all = std::all_of(set.targets.begin(), set.targets.end(),
                                [](const auto &t) { return t.second.missing || !t.second.named; });
   set.denied = all;
@@ -100,7 +100,8 @@
   depart(set, now);
 }
 
-bool Sources::named(std::size_t number, Word word, const std::vector<Target> &targets, Ns goodUntil, Ns now) {
+bool EndpointMerge::named(std::size_t number, Word word, const std::vector<Target> &targets,
+                          Nanoseconds goodUntil, Nanoseconds now) {
   auto &set = sets_[number];
   if (word == Word::failed) return false;
   const bool first = set.goodAt == 0;
@@ -133,7 +134,7 @@
   return false;
 }
 
-bool Sources::resolved(const std::string &name, Word word, std::vector<std::string> addresses) {
+bool EndpointMerge::resolved(const std::string &name, Word word, std::vector<std::string> addresses) {
   const auto it = hosts_.find(name);
   if (it == hosts_.end() || word == Word::failed) return false;
   auto &host = it->second;
@@ -157,12 +158,12 @@
   return false;
 }
 
-void Sources::told(const std::string &name, int release) {
+void EndpointMerge::told(const std::string &name, int release) {
   const auto it = hosts_.find(name);
   if (it != hosts_.end()) it->second.release = release;
 }
 
-void Sources::listed(const std::vector<Entry> &entries, bool whole, Ns now) {
+void EndpointMerge::listed(const std::vector<Entry> &entries, bool whole, Nanoseconds now) {
   listDown_ = false;
   std::set<std::string> said;
   for (const auto &e : entries) {
@@ -170,11 +171,11 @@
     const auto was = listed_.find(e.name);
     const auto address = e.address.empty() && was != listed_.end() ? was->second.address : e.address;
     if (was != listed_.end() && was->second.address != address) departed_[was->second.address] = now;
-    if (e.listing.mode == Mode::gone)
+    if (e.info.state == EndpointState::gone)
       listed_.erase(e.name);
     else
-      listed_[e.name] = {e.name, address, e.listing};
-    if (e.listing.mode == Mode::ready)
+      listed_[e.name] = {e.name, address, e.info};
+    if (e.info.state == EndpointState::ready)
       departed_.erase(address);
     else if (!address.empty())
       departed_[address] = now;
@@ -187,17 +188,17 @@
     });
   // An address that another name serves at has not departed.
   for (const auto &[name, entry] : listed_)
-    if (entry.listing.mode == Mode::ready) departed_.erase(entry.address);
-  keepLatest(departed_, kMostServers, [](Ns t) { return t; });
+    if (entry.info.state == EndpointState::ready) departed_.erase(entry.address);
+  keepLatest(departed_, kMostServers, [](Nanoseconds t) { return t; });
 }
 
-void Sources::expireHolds(Ns now) {
+void EndpointMerge::expireHolds(Nanoseconds now) {
   for (auto &set : sets_)
     if (set.lossSince != 0 && now - set.lossSince >= prudence_.lossHold) believeLoss(set, Word::empty, now);
 }
 
 // What names go on naming stays out on, be their answer as old as it may.
-void Sources::mentionDeparted(Ns now) {
+void EndpointMerge::mentionDeparted(Nanoseconds now) {
   if (departed_.empty()) return;
   for (const auto &set : sets_)
     for (const auto &[key, known] : set.targets) {
@@ -210,8 +211,8 @@
     }
 }
 
-void Sources::prune(Ns now) {
-  const Ns kept = std::max(prudence_.flapLongest, 2 * prudence_.flapHalfLife);
+void EndpointMerge::prune(Nanoseconds now) {
+  const Nanoseconds kept = std::max(prudence_.flapLongest, 2 * prudence_.flapHalfLife);
   for (auto &set : sets_) {
     const bool resort = set.denied && now < set.lastResortUntil;
     std::erase_if(set.targets,
@@ -227,7 +228,7 @@
   keepLatest(seen_, kMostServers, [](const auto &s) { return s.second; });
 }
 
-void Sources::selectTargets() {
+void EndpointMerge::selectTargets() {
   if (selected_) return;
   selected_ = true;
   std::vector<std::string> names;
@@ -245,7 +246,7 @@
     if (held[i]) heldTargets_.insert(*keys[i]);
 }
 
-std::vector<Sources::Wanted> Sources::hostsWanted() {
+std::vector<EndpointMerge::Wanted> EndpointMerge::hostsWanted() {
   selectTargets();
   std::map<std::string, bool> wanted;
   for (const auto &set : sets_)
@@ -256,7 +257,7 @@
   return out;
 }
 
-void Sources::offer(const Set &set, const Key &key, const Known &known, Offers &out) {
+void EndpointMerge::offer(const Set &set, const Key &key, const Known &known, Offers &out) {
   const auto &host = hosts_[key.first];
   figures_.unresolved += host.addresses.empty();
   for (const auto &[address, later] : host.addresses) {
@@ -272,7 +273,7 @@
 }
 
 // Usually what is named and neither damped nor expired; as a last resort what has expired or was denied.
-Sources::Offers Sources::offers(bool lastResort, Ns now) {
+EndpointMerge::Offers EndpointMerge::offers(bool lastResort, Nanoseconds now) {
   Offers out;
   for (auto &set : sets_) {
     const bool expired = set.goodUntil != 0 && now - set.goodUntil > staleMost_;
@@ -290,28 +291,28 @@
   return out;
 }
 
-Listing Sources::listingOf(const std::string &address, const Offer &offer, Ns now) {
+EndpointInfo EndpointMerge::listingOf(const std::string &address, const Offer &offer, Nanoseconds now) {
   const bool later = !offer.known->atFirst || offer.later;
   const auto [seen, first] = seen_.try_emplace(address, later ? now : 0, now);
   seen->second.second = now;
-  Listing out;
+  EndpointInfo out;
   out.build = offer.release >= 0 ? offer.release : kUnknownBuild;
   out.zone = offer.set->zone >= 0 ? offer.set->zone : homeZone_;
-  out.start = seen->second.first;
+  out.startedAt = seen->second.first;
   return out;
 }
 
-void Sources::addListed(const Offers &offers, std::vector<Entry> &out) {
+void EndpointMerge::addListed(const Offers &offers, std::vector<Entry> &out) {
   const bool told = std::any_of(sets_.begin(), sets_.end(), [](const Set &s) { return s.goodAt != 0; });
   std::vector<std::string> alone;
   std::vector<const Entry *> entries;
   for (const auto &[name, entry] : listed_) {
-    const bool ready = entry.listing.mode == Mode::ready;
+    const bool ready = entry.info.state == EndpointState::ready;
     const auto named = offers.find(entry.address);
     figures_.listed += ready;
     if (named != offers.end()) {
       figures_.twoNames += named->second.name != name;
-      figures_.buildsDiffer += named->second.release >= 0 && named->second.release != entry.listing.build;
+      figures_.buildsDiffer += named->second.release >= 0 && named->second.release != entry.info.build;
       figures_.drainedButNamed += !ready;
       out.push_back(entry);
     } else {
@@ -325,7 +326,7 @@
     if (held[i]) out.push_back(*entries[i]);
 }
 
-void Sources::addNamed(const Offers &offers, std::vector<Entry> &out, Ns now) {
+void EndpointMerge::addNamed(const Offers &offers, std::vector<Entry> &out, Nanoseconds now) {
   std::set<std::string> byList;
   for (const auto &[name, entry] : listed_) byList.insert(entry.address);
   for (const auto &[address, offer] : offers) {
@@ -341,7 +342,7 @@
 }
 
 // The order of priorities, and weights as parts of the largest in a group.
-void Sources::groups(std::vector<Entry> &out, const Offers &offers) const {
+void EndpointMerge::groups(std::vector<Entry> &out, const Offers &offers) const {
   std::map<int, double> most; // by priority
   for (const auto &e : out)
     if (const auto o = offers.find(e.address); o != offers.end()) {
@@ -353,17 +354,17 @@
     if (o == offers.end()) continue;
     const auto &known = *o->second.known;
     const auto group = most.find(known.priority);
-    e.listing.tier = static_cast<int>(std::distance(most.begin(), group));
-    e.listing.weight = group->second > 0 ? std::max(known.weight / group->second, kLeastWeight) : 1;
+    e.info.priorityGroup = static_cast<int>(std::distance(most.begin(), group));
+    e.info.weight = group->second > 0 ? std::max(known.weight / group->second, kLeastWeight) : 1;
   }
 }
 
-bool Sources::serves(const std::vector<Entry> &entries) const {
+bool EndpointMerge::serves(const std::vector<Entry> &entries) const {
   return std::any_of(entries.begin(), entries.end(),
-                     [](const Entry &e) { return e.listing.mode == Mode::ready; });
+                     [](const Entry &e) { return e.info.state == EndpointState::ready; });
 }
 
-std::vector<Entry> Sources::merged(Ns now) {
+std::vector<Entry> EndpointMerge::merged(Nanoseconds now) {
   expireHolds(now);
   prune(now);
   selectTargets();
@@ -380,7 +381,8 @@
   }
   groups(out, offered);
   std::set<int> tiers;
-  for (const auto &e : out) tiers.insert(e.listing.tier), figures_.servers += e.listing.mode == Mode::ready;
+  for (const auto &e : out)
+    tiers.insert(e.info.priorityGroup), figures_.servers += e.info.state == EndpointState::ready;
   figures_.lastResort = figures_.lastResort && figures_.servers > 0;
   figures_.groups = tiers.size();
   figures_.named = offered.size();
@@ -393,9 +395,9 @@
   return out;
 }
 
-Ns Sources::nextChange(Ns now) const {
-  Ns next = INT64_MAX;
-  const auto by = [&](Ns t) {
+Nanoseconds EndpointMerge::nextChange(Nanoseconds now) const {
+  Nanoseconds next = INT64_MAX;
+  const auto by = [&](Nanoseconds t) {
     if (t > now) next = std::min(next, t);
   };
   for (const auto &set : sets_) {
@@ -405,14 +407,14 @@
     for (const auto &[key, known] : set.targets) {
       if (known.dampedSince == 0) continue;
       const double left = std::log2(std::max(penalty(known, now) / prudence_.flapLeast, 1.0));
-      by(now + kMs + static_cast<Ns>(left * static_cast<double>(prudence_.flapHalfLife)));
+      by(now + kMillisecond + static_cast<Nanoseconds>(left * static_cast<double>(prudence_.flapHalfLife)));
       by(known.dampedSince + prudence_.flapLongest);
     }
   }
   return next;
 }
 
-Past Sources::past() const {
+Past EndpointMerge::past() const {
   Past out;
   for (const auto &set : sets_) {
     Past::Set s{set.name, set.goodAt, set.goodUntil, {}};
@@ -433,7 +435,7 @@
 }
 
 // Only for names that are still followed; the list's entries hold until a list is heard.
-void Sources::restore(const Past &past, Ns now) {
+void EndpointMerge::restore(const Past &past, Nanoseconds now) {
   for (const auto &was : past.sets) {
     const auto set = std::find_if(sets_.begin(), sets_.end(),
                                   [&](const Set &s) { return s.name == was.name; });
@@ -461,4 +463,4 @@
   selected_ = false;
 }
 
-} // namespace myrtlehead::sources
+} // namespace myrtlehead::endpoint_merge
--- a/src/guard/log.h
+++ b/src/policy/log_text.h
@@ -1,7 +1,7 @@
 // The words and the form of log lines.
 #pragma once
 
-#include "guard/terms.h"
+#include "policy/types.h"
 
 #include <cstdio>
 
@@ -12,7 +12,7 @@
   return kWords[static_cast<int>(v)];
 }
 
-inline const char *word(Phase p) {
+inline const char *word(RolloutPhase p) {
   constexpr const char *kWords[] = {"on trial", "going back", "released", "withdrawn"};
   return kWords[static_cast<int>(p)];
 }
@@ -23,7 +23,7 @@
   return kWords[static_cast<int>(o)];
 }
 
-inline const char *word(Reply r) {
+inline const char *word(VoteReply r) {
   constexpr const char *kWords[] = {"ok", "moot", "full", "error", "no answer"};
   return kWords[static_cast<int>(r)];
 }
--- a/src/guard/report.h
+++ b/src/policy/peer_messages.h
@@ -1,8 +1,8 @@
-// The forms in which a report to the fusers and a fuser's stance travel between marshals: 16 and 5 bytes,
+// The forms in which a report to the fusers and a fuser's stance travel between instances: 16 and 5 bytes,
 // big-endian, version first.
 #pragma once
 
-#include "guard/terms.h"
+#include "policy/types.h"
 
 #include <cmath>
 #include <cstddef>
@@ -12,10 +12,10 @@
 
 namespace myrtlehead {
 
-// What a marshal's life has reported in one channel for one build, in all.
+// What an instance's life has reported in one channel for one build, in all.
 struct Report {
   std::uint32_t channel = 0, build = 0, life = 0;
-  std::uint16_t worst = 0; // the mark of the node that failed last since the report before; 0: none
+  std::uint16_t worst = 0; // the mark of the endpoint that failed last since the report before; 0: none
   double total = 0, outcomes = 0;
 };
 
@@ -62,7 +62,7 @@
 
 inline std::optional<Vote> unpackStance(const std::uint8_t *p, std::size_t n) {
   if (n != kStanceSize || p[0] != kStanceVersion) return std::nullopt;
-  if (p[1] > static_cast<int>(Verdict::back)) return std::nullopt;
+  if (p[1] > static_cast<int>(Verdict::rollBack)) return std::nullopt;
   return Vote{static_cast<Verdict>(p[1]), p[2] << 8 | p[3], p[4]};
 }
 
--- a/src/decide/pipeline/pipeline.cpp
+++ b/src/policy/pipelining_limits.cpp
@@ -1,17 +1,17 @@
-#include "decide/pipeline/pipeline.h"
+#include "policy/pipelining_limits.h"
 
-namespace myrtlehead::pipeline {
+namespace myrtlehead::pipelining_limits {
 
 namespace {
 constexpr std::size_t kMostRequests = 128;     // in hand on one connection
 constexpr std::size_t kMostBytes = 256 * 1024; // of answers that one connection holds
 constexpr std::size_t kMostWaiting = 2;        // times the places, of all connections
-constexpr Ns kWaitParts = 2;                   // one part in so many of its time may be spent waiting
+constexpr Nanoseconds kWaitParts = 2;          // one part in so many of its time may be spent waiting
 } // namespace
 
-Ns waitsUntil(Ns arrived, Ns patience) { return arrived + patience / kWaitParts; }
+Nanoseconds waitsUntil(Nanoseconds arrived, Nanoseconds patience) { return arrived + patience / kWaitParts; }
 
-bool Admission::mayTakeUp(const Held &held) const {
+bool Admission::mayTakeUp(const ConnectionUsage &held) const {
   if (held.bytes >= kMostBytes) return false;
   if (held.requests == 0) return true;
   const auto mostWaiting = kMostWaiting * static_cast<std::size_t>(places_);
@@ -50,4 +50,4 @@
   if (next.onAdmitted) next.onAdmitted();
 }
 
-} // namespace myrtlehead::pipeline
+} // namespace myrtlehead::pipelining_limits
--- a/src/decide/pipeline/pipeline.h
+++ b/src/policy/pipelining_limits.h
@@ -7,19 +7,19 @@
 #include <functional>
 #include <list>
 
-namespace myrtlehead::pipeline {
+namespace myrtlehead::pipelining_limits {
 
-using Ns = std::int64_t;
+using Nanoseconds = std::int64_t;
 
 // What a connection holds while its requests wait for answers, or its answers wait to be written.
-struct Held {
+struct ConnectionUsage {
   std::size_t requests = 0; // taken up and not yet answered in full
   std::size_t bytes = 0;    // of answers not yet written
 };
 
 // Until when a request that stands behind others of its connection may wait for a place. Past that it is
 // refused, while its client still has the other half of its time for another attempt elsewhere.
-Ns waitsUntil(Ns arrived, Ns patience);
+Nanoseconds waitsUntil(Nanoseconds arrived, Nanoseconds patience);
 
 // One request's right to be attempted. It must not move while it is known to an Admission.
 struct Ticket {
@@ -38,7 +38,7 @@
   // Whether a connection may take up a further message. A client that reads nothing, or that pipelines
   // without end, is not read on until some of its answers have been written; nor is one that has requests in
   // hand while many others wait. A connection with nothing in hand always may.
-  bool mayTakeUp(const Held &held) const;
+  bool mayTakeUp(const ConnectionUsage &held) const;
   void enter(Ticket &ticket, bool first); // admits it, or lets it wait
   void becameFirst(Ticket &ticket);       // of its connection: admitted, if it still waits
   void leave(Ticket &ticket);             // answered, refused or abandoned; makes room for the next
@@ -52,4 +52,4 @@
   std::list<Ticket *> waiting_;
 };
 
-} // namespace myrtlehead::pipeline
+} // namespace myrtlehead::pipelining_limits
--- a/src/decide/preference/preference.cpp
+++ b/src/policy/priority_selector.cpp
@@ -1,25 +1,25 @@
-#include "decide/preference/preference.h"
+#include "policy/priority_selector.h"
 
 #include <algorithm>
 
-namespace myrtlehead::preference {
+namespace myrtlehead::priority_selector {
 
 namespace {
 constexpr double kSpare = 1.4; // a group whose standing part times this is 1 carries all
 constexpr double kLate = 0.4,
-                 kInTime = 0.3;            // of the objectives; before reqs are shed, which begins at a half
+                 kInTime = 0.3; // of the objectives; before requests are shed, which begins at a half
 constexpr double kUp = 0.05, kDown = 0.02; // of the share, a period
-constexpr double kLearn = 0.05;            // a try
+constexpr double kLearn = 0.05;            // an attempt
 } // namespace
 
-void Preference::finished(int group, double part) {
+void PrioritySelector::finished(int group, double part) {
   if (group < 0 || static_cast<std::size_t>(group) >= state_.size()) return;
   auto &s = state_[static_cast<std::size_t>(group)];
   s.lateness += kLearn * (part - s.lateness);
   ++s.seen;
 }
 
-void Preference::observe(const std::vector<Group> &groups, Ns now) {
+void PrioritySelector::observe(const std::vector<Group> &groups, Nanoseconds now) {
   if (now - observedAt_ < kPeriod && groups.size() == state_.size()) return;
   observedAt_ = now;
   state_.resize(groups.size());
@@ -46,7 +46,7 @@
   if (!groups.empty()) shares_[best] += left;
 }
 
-int Preference::pick(double draw) const {
+int PrioritySelector::pick(double draw) const {
   for (std::size_t i = 0; i < shares_.size(); ++i) {
     if (draw < shares_[i]) return static_cast<int>(i);
     draw -= shares_[i];
@@ -54,4 +54,4 @@
   return 0;
 }
 
-} // namespace myrtlehead::preference
+} // namespace myrtlehead::priority_selector
--- a/src/decide/subset/subset.cpp
+++ b/src/policy/subsetting.cpp
@@ -1,16 +1,16 @@
-#include "decide/subset/subset.h"
+#include "policy/subsetting.h"
 
 #include <algorithm>
 #include <xxhash.h>
 
-namespace myrtlehead::subset {
+namespace myrtlehead::subsetting {
 
 namespace {
-constexpr double kSlack = 0.25; // of the size, before the number of marshals for a server changes
+constexpr double kSlack = 0.25; // of the size, before the number of instances for a server changes
 }
 
-Subset::Subset(int marshals, int me, int size) : me_(me), size_(size) {
-  for (int i = 0; i < marshals; ++i) {
+Subset::Subset(int instanceCount, int ownIndex, int size) : ownIndex_(ownIndex), size_(size) {
+  for (int i = 0; i < instanceCount; ++i) {
     const std::uint32_t number = static_cast<std::uint32_t>(i);
     keys_.push_back(XXH3_64bits(&number, sizeof number));
   }
@@ -18,15 +18,15 @@
 
 int Subset::rankOfMe(const std::string &server) const {
   const auto name = XXH3_64bits(server.data(), server.size());
-  const auto score = [&](std::size_t marshal) {
-    const std::uint64_t both[2] = {name, keys_[marshal]};
+  const auto score = [&](std::size_t router) {
+    const std::uint64_t both[2] = {name, keys_[router]};
     return XXH3_64bits(both, sizeof both);
   };
-  const auto mine = score(static_cast<std::size_t>(me_));
+  const auto mine = score(static_cast<std::size_t>(ownIndex_));
   int rank = 0;
   for (std::size_t i = 0; i < keys_.size(); ++i) {
     const auto theirs = score(i);
-    rank += theirs > mine || (theirs == mine && static_cast<int>(i) < me_);
+    rank += theirs > mine || (theirs == mine && static_cast<int>(i) < ownIndex_);
   }
   return rank;
 }
@@ -40,10 +40,11 @@
   }
   // Guards against all connections moving where the set's size crosses a step: the number stays while the
   // mean subset is near enough to the size.
-  const auto marshals = static_cast<double>(keys_.size()), all = static_cast<double>(n);
-  const double mean = each_ * all / marshals;
-  if (each_ == 0 || mean < size_ * (1 - kSlack) || mean > size_ * (1 + kSlack) + all / marshals)
-    each_ = std::clamp(static_cast<int>(size_ * marshals / all + 0.999), 1, static_cast<int>(keys_.size()));
+  const auto instanceCount = static_cast<double>(keys_.size()), all = static_cast<double>(n);
+  const double mean = each_ * all / instanceCount;
+  if (each_ == 0 || mean < size_ * (1 - kSlack) || mean > size_ * (1 + kSlack) + all / instanceCount)
+    each_ = std::clamp(static_cast<int>(size_ * instanceCount / all + 0.999), 1,
+                       static_cast<int>(keys_.size()));
   std::map<std::string, int> ranks;
   std::vector<int> rank(n);
   for (std::size_t i = 0; i < n; ++i) {
@@ -55,10 +56,10 @@
   rank_.swap(ranks);
   std::vector<bool> out(n);
   const auto least = static_cast<std::ptrdiff_t>(std::max(size_ / 2, 1));
-  for (int most = each_;; ++most) { // ends: at the number of marshals it holds all
+  for (int most = each_;; ++most) { // ends: at the number of instances it holds all
     for (std::size_t i = 0; i < n; ++i) out[i] = rank[i] < most;
     if (std::count(out.begin(), out.end(), true) >= least) return out;
   }
 }
 
-} // namespace myrtlehead::subset
+} // namespace myrtlehead::subsetting
--- a/src/sim/wirehost/main.cpp
+++ b/src/sim/adapter/main.cpp
@@ -1,5 +1,5 @@
 // Frames in on standard input, frames out on standard output.
-#include "host.h"
+#include "adapter.h"
 
 #include <cstdio>
 
@@ -37,7 +37,7 @@
   try {
     serve();
   } catch (const std::exception &e) {
-    std::fprintf(stderr, "myrtlehead_wirehost: %s\n", e.what());
+    std::fprintf(stderr, "myrtlehead_sim_adapter: %s\n", e.what());
     return 1;
   }
   return 0;
--- a/src/sim/wire/codec.h
+++ b/src/sim/wire/codec.h
@@ -2,7 +2,7 @@
 // settings decoded into a Deployment. Wire names and codes stay in this folder.
 #pragma once
 
-#include "guard/guard.h"
+#include "policy/guard.h"
 
 #include <cstdint>
 #include <stdexcept>
@@ -80,7 +80,7 @@
 };
 
 struct BatchHead {
-  Ns now = 0;
+  Nanoseconds now = 0;
   std::uint32_t records = 0, number = 0;
 };
 BatchHead readHead(Reader &in);
@@ -88,11 +88,11 @@
 // The records of one instance in one reply.
 class Writer {
 public:
-  void submit(std::uint64_t req, Ns timeout, NodeId node);
+  void submit(std::uint64_t req, Nanoseconds timeout, NodeId node);
   void withdraw(std::uint64_t req, std::uint8_t tryNo);
-  void busy(std::uint64_t req, Ns pause);
+  void busy(std::uint64_t req, Nanoseconds pause);
   void error(std::uint64_t req);
-  void wake(Ns in, std::uint64_t mark);
+  void wake(Nanoseconds in, std::uint64_t mark);
   void touch(NodeId node);
   void watch();
   void getList();
@@ -124,9 +124,9 @@
 };
 
 Outcome outcomeOf(std::uint8_t code, const Reader &in);
-Reply replyOf(std::uint8_t code, const Reader &in);
-Phase phaseOf(std::uint8_t code, const Reader &in);
-Listing readListing(Reader &in, NodeId &node);
+VoteReply replyOf(std::uint8_t code, const Reader &in);
+RolloutPhase phaseOf(std::uint8_t code, const Reader &in);
+EndpointInfo readEndpointInfo(Reader &in, NodeId &node);
 Deployment readDeployment(std::string_view text);
 
 } // namespace myrtlehead::wire
--- a/src/nodes/pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "nodes/pool.h"
+#include "upstream/connection_pool.h"
 
 #include "format/pg/message.h"
 
@@ -7,39 +7,40 @@
 #include <cmath>
 #include <utility>
 
-namespace myrtlehead::nodes {
+namespace myrtlehead::upstream {
 
-using net::Cause;
+using net::ErrorCode;
 using net::Failure;
-using net::Reach;
+using net::SendProgress;
 
 namespace {
 
 constexpr int kControlShare = 16;         // descriptors kept for calls on discovery and the platform
 constexpr std::size_t kSmall = 16 * 1024; // an answer that needs no place of its own, a buffer that is kept
-constexpr Ns kSettled = kSec;             // for what is due behind an answer to come
+constexpr Nanoseconds kSettled = kSecond; // for what is due behind an answer to come
 
 // The next message of a connection, at the front of its buffer until it is consumed.
-net::Task<Failure> nextMessage(net::Socket &socket, net::Buffer &buffer, net::Until until, Reach reach,
-                               pg::Message &out) {
+net::Task<Failure> nextMessage(net::Socket &socket, net::Buffer &buffer, net::Deadline until,
+                               SendProgress reach, pg::Message &out) {
   for (;;) {
     const auto parsed = pg::parseMessage(buffer.view(), out);
     if (parsed == pg::Parsed::whole) co_return Failure{};
-    if (parsed == pg::Parsed::bad) co_return Failure{Cause::unreadable, reach};
+    if (parsed == pg::Parsed::bad) co_return Failure{ErrorCode::unreadable, reach};
     const auto cause = co_await socket.read(buffer, until);
-    if (cause != Cause::none)
-      co_return Failure{cause, buffer.empty() ? reach : std::max(reach, Reach::answering)};
+    if (cause != ErrorCode::none)
+      co_return Failure{cause, buffer.empty() ? reach : std::max(reach, SendProgress::responseStarted)};
   }
 }
 
 } // namespace
 
 Outcome outcomeOf(const Failure &failure) {
-  const bool written = failure.reach == Reach::writtenWhole || failure.reach == Reach::answering;
-  if (failure.cause == Cause::noDescriptor) return Outcome::notSent; // no fault of the node's
-  if (failure.cause == Cause::stopped) return written ? Outcome::cancelled : Outcome::notSent;
+  const bool written = failure.progress == SendProgress::fullyWritten ||
+                       failure.progress == SendProgress::responseStarted;
+  if (failure.cause == ErrorCode::noDescriptorLeft) return Outcome::notSent; // no fault of the endpoint's
+  if (failure.cause == ErrorCode::cancelled) return written ? Outcome::cancelled : Outcome::notSent;
   if (!written) return Outcome::unreachable;
-  return failure.cause == Cause::timedOut ? Outcome::timedOut : Outcome::reset;
+  return failure.cause == ErrorCode::timedOut ? Outcome::timedOut : Outcome::reset;
 }
 
 // Guards the belief of load against reports that can't be: one bad value spoils all of them.
@@ -63,69 +64,73 @@
   return std::all_of(out.begin(), out.end(), is) ? out : std::vector<float>{};
 }
 
-net::Task<Tried> Pool::attempt(const Target &target, const pg::Statement &statement, net::Until until,
-                               Ns sendBy, std::function<bool()> meant) {
-  Tried out;
+net::Task<AttemptResult> ConnectionPool::attempt(const UpstreamEndpoint &target,
+                                                 const pg::Statement &statement, net::Deadline until,
+                                                 Nanoseconds sendBy, std::function<bool()> meant) {
+  AttemptResult out;
   Held c = take(target);
   if (c == nullptr) {
     auto opened = co_await open(target, until);
     if (!opened) {
-      const bool full = opened.failure().cause == Cause::refused &&
-                        opened.failure().reach == Reach::answering;
-      out.outcome = full ? Outcome::turnedAway : outcomeOf(opened.failure());
+      const bool full = opened.failure().cause == ErrorCode::refused &&
+                        opened.failure().progress == SendProgress::responseStarted;
+      out.outcome = full ? Outcome::rejected : outcomeOf(opened.failure());
       co_return out;
     }
     c = std::move(*opened);
   }
-  // Guards against writing to a node that was listed otherwise, or too late for a repeat, once the connection
-  // is up.
+  // Guards against writing to an endpoint that was listed otherwise, or too late for a repeat, once the
+  // connection is up.
   if (!meant() || sched_.now() > sendBy) {
     keep(target, std::move(c));
     out.outcome = Outcome::notSent;
     co_return out;
   }
   std::string query;
-  pg::addQuery(query,
-               pg::withPatience(statement, std::max<Ns>((until.at - sched_.now() + kMs - 1) / kMs, 1)));
+  pg::addQuery(query, pg::withPatience(statement,
+                                       std::max<Nanoseconds>(
+                                           (until.at - sched_.now() + kMillisecond - 1) / kMillisecond, 1)));
   const auto failure = co_await exchange(*c, std::move(query), until, sendBy, out);
-  if (failure.cause != Cause::none)
+  if (failure.cause != ErrorCode::none)
     out.outcome = outcomeOf(failure);
   else
     keep(target, std::move(c));
   co_return out;
 }
 
-net::Task<net::Result<Pool::Held>> Pool::open(const Target &target, net::Until until) {
+net::Task<net::Result<ConnectionPool::Held>> ConnectionPool::open(const UpstreamEndpoint &target,
+                                                                  net::Deadline until) {
   const auto address = net::parseAddress(target.address);
-  if (!address) co_return Failure{Cause::refused};
+  if (!address) co_return Failure{ErrorCode::refused};
   until.at = std::min(until.at, sched_.now() + connectWithin_);
-  if (budget_.left() <= kControlShare && !closeOldestIdle()) co_return Failure{Cause::noDescriptor};
+  if (budget_.left() <= kControlShare && !closeOldestIdle()) co_return Failure{ErrorCode::noDescriptorLeft};
   auto connected = co_await net::connect(sched_, budget_, *address, until);
   if (!connected) co_return connected.failure();
   auto c = std::make_unique<Connection>();
   c->changes = target.changes;
   c->socket = std::move(*connected);
   const auto failure = co_await welcome(*c, until);
-  if (failure.cause != Cause::none) co_return failure;
+  if (failure.cause != ErrorCode::none) co_return failure;
   co_return std::move(c);
 }
 
-// From the startup message to the first ReadyForQuery. Refused at `answering`: the node has said no.
-net::Task<Failure> Pool::welcome(Connection &c, net::Until until) {
+// From the startup message to the first ReadyForQuery. Refused at `answering`: the endpoint has said no.
+net::Task<Failure> ConnectionPool::welcome(Connection &c, net::Deadline until) {
   std::string startup;
   pg::addStartup(startup, "svc", "main");
   const auto cause = co_await c.socket->write(startup, until);
-  if (cause != Cause::none) co_return Failure{cause};
+  if (cause != ErrorCode::none) co_return Failure{cause};
   for (;;) {
     pg::Message m;
-    auto failure = co_await nextMessage(*c.socket, c.buffer, until, Reach::unconnected, m);
-    failure.reach = Reach::unconnected; // nothing of the req has been written
-    if (failure.cause != Cause::none) co_return failure;
+    auto failure = co_await nextMessage(*c.socket, c.buffer, until, SendProgress::notConnected, m);
+    failure.progress = SendProgress::notConnected; // nothing of the request has been written
+    if (failure.cause != ErrorCode::none) co_return failure;
     const char type = m.type;
     const bool admitted = type != 'R' || m.body == std::string_view("\0\0\0\0", 4);
     const auto code = type == 'E' ? pg::errorCode(m.body) : "";
-    if (code == "53300" || code == "57P03") co_return Failure{Cause::refused, Reach::answering};
-    if (type == 'E' || !admitted) co_return Failure{Cause::refused};
+    if (code == "53300" || code == "57P03")
+      co_return Failure{ErrorCode::refused, SendProgress::responseStarted};
+    if (type == 'E' || !admitted) co_return Failure{ErrorCode::refused};
     c.buffer.consume(m.size);
     if (type == 'Z') co_return Failure{};
   }
@@ -133,10 +138,11 @@
 
 // The statement is written and its answer read, up to ReadyForQuery if that has come along. What is passed on
 // has the form of the one answer due; anything else may have run and is not believed.
-net::Task<Failure> Pool::exchange(Connection &c, std::string query, net::Until until, Ns sendBy, Tried &out) {
-  const net::Until whole{std::min(until.at, sendBy), until.stop};
+net::Task<Failure> ConnectionPool::exchange(Connection &c, std::string query, net::Deadline until,
+                                            Nanoseconds sendBy, AttemptResult &out) {
+  const net::Deadline whole{std::min(until.at, sendBy), until.stop};
   const auto written = co_await c.socket->write(query, whole);
-  if (written != Cause::none) co_return Failure{written, Reach::partlyWritten};
+  if (written != ErrorCode::none) co_return Failure{written, SendProgress::partlyWritten};
   bool over = false, any = false;
   while (!over) {
     pg::Message m;
@@ -144,24 +150,25 @@
     if (part == pg::Reply::more) {
       const auto size = pg::announcedSize(c.buffer.view());
       if (size > kSmall && !out.place.held()) {
-        const bool taken = co_await net::Place::take(sched_, large_, size, until, out.place);
-        if (!taken) co_return Failure{Cause::timedOut, Reach::answering};
+        const bool taken = co_await net::MemoryReservation::take(sched_, large_, size, until, out.place);
+        if (!taken) co_return Failure{ErrorCode::timedOut, SendProgress::responseStarted};
         c.buffer.room(size + kSmall - c.buffer.view().size()); // once, for all that comes
         out.answer.reserve(size + kHead);
       }
       const auto cause = co_await c.socket->read(c.buffer, until);
-      if (cause != Cause::none) co_return Failure{cause, any ? Reach::answering : Reach::writtenWhole};
+      if (cause != ErrorCode::none)
+        co_return Failure{cause, any ? SendProgress::responseStarted : SendProgress::fullyWritten};
       any = true;
       continue;
     }
     if (part == pg::Reply::bad || part == pg::Reply::empty)
-      co_return Failure{Cause::unreadable, Reach::answering};
+      co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
     if (part == pg::Reply::aside && m.type == 'S') readParameter(m.body, out);
     if (part == pg::Reply::error)
-      out.outcome = pg::errorCode(m.body) == "53300" ? Outcome::turnedAway : Outcome::errored;
+      out.outcome = pg::errorCode(m.body) == "53300" ? Outcome::rejected : Outcome::failed;
     else if (part != pg::Reply::aside)
       out.answer += c.buffer.view().substr(0, m.size);
-    if (part == pg::Reply::complete) out.outcome = Outcome::completed;
+    if (part == pg::Reply::complete) out.outcome = Outcome::succeeded;
     over = part == pg::Reply::complete || part == pg::Reply::error;
     c.buffer.consume(m.size);
   }
@@ -176,16 +183,16 @@
 
 // Guards against a second copy of an earlier answer that comes while this one is waited for: then the one due
 // comes before the empty query's answer, and which of the two is whose can't be told. It may have run.
-net::Task<Failure> Pool::proven(Connection &c, net::Until until, Tried &out) {
+net::Task<Failure> ConnectionPool::proven(Connection &c, net::Deadline until, AttemptResult &out) {
   while (!c.spoilt && c.due > 0) {
     const auto cause = co_await c.socket->read(c.buffer, until);
-    if (cause != Cause::none) co_return Failure{cause, Reach::answering};
+    if (cause != ErrorCode::none) co_return Failure{cause, SendProgress::responseStarted};
     settle(c, &out);
   }
-  co_return c.spoilt ? Failure{Cause::unreadable, Reach::answering} : Failure{};
+  co_return c.spoilt ? Failure{ErrorCode::unreadable, SendProgress::responseStarted} : Failure{};
 }
 
-void Pool::readParameter(std::string_view body, Tried &out) {
+void ConnectionPool::readParameter(std::string_view body, AttemptResult &out) {
   std::string_view name, value;
   if (!pg::takeText(body, name) || !pg::takeText(body, value) || name != "load") return;
   out.loads = readLoads(value, loadNames_);
@@ -194,8 +201,8 @@
 }
 
 // Guards against a second copy of an answer, or noise, that comes behind it: an empty query has no effect,
-// and its answer can't overtake what the node has sent before.
-void Pool::fence(Connection &c) {
+// and its answer can't overtake what the endpoint has sent before.
+void ConnectionPool::fence(Connection &c) {
   std::string query;
   pg::addQuery(query, "");
   c.due = 2;
@@ -204,7 +211,7 @@
 }
 
 // Takes what has come of what is due behind an answer: ReadyForQuery, then the empty query's answer.
-void Pool::settle(Connection &c, Tried *out) {
+void ConnectionPool::settle(Connection &c, AttemptResult *out) {
   pg::Message m;
   while (!c.spoilt && (c.due > 0 || !c.buffer.empty())) {
     const auto part = c.reply.next(c.buffer.view(), m);
@@ -221,19 +228,19 @@
 }
 
 // All that has come is read: the connection's end may stand behind what was due.
-Pool::Standing Pool::standing(Connection &c) {
-  auto cause = Cause::none;
-  while (cause == Cause::none && !c.spoilt) {
+ConnectionPool::Standing ConnectionPool::standing(Connection &c) {
+  auto cause = ErrorCode::none;
+  while (cause == ErrorCode::none && !c.spoilt) {
     cause = c.socket->readNow(c.buffer);
     settle(c, nullptr);
   }
-  if (cause != Cause::timedOut) return useless;
+  if (cause != ErrorCode::timedOut) return useless;
   c.buffer.shrink(kSmall);
   if (c.spoilt || (c.due == 0 && !c.buffer.empty())) return useless;
   return c.due > 0 ? unsettled : usable;
 }
 
-Pool::Held Pool::take(const Target &target) {
+ConnectionPool::Held ConnectionPool::take(const UpstreamEndpoint &target) {
   if (target.index >= places_.size()) return nullptr;
   auto &idle = places_[target.index].idle;
   for (std::size_t i = idle.size(); i-- > 0;) {
@@ -248,7 +255,7 @@
   return nullptr;
 }
 
-void Pool::keep(const Target &target, Held c) {
+void ConnectionPool::keep(const UpstreamEndpoint &target, Held c) {
   while (places_.size() <= target.index) places_.emplace_back();
   auto &place = places_[target.index];
   place.target = &target;
@@ -258,9 +265,9 @@
   place.idle.push_back(std::move(c));
 }
 
-net::Task<> Pool::sweep() {
+net::Task<> ConnectionPool::sweep() {
   for (;;) {
-    co_await sched_.sleep(kSec);
+    co_await sched_.sleep(kSecond);
     for (auto &place : places_)
       std::erase_if(place.idle, [&](const Held &c) {
         const bool old = sched_.now() - c->idleSince >= idleAtMost_ / 2;
@@ -270,7 +277,7 @@
   }
 }
 
-bool Pool::closeOldestIdle() {
+bool ConnectionPool::closeOldestIdle() {
   Place *oldest = nullptr;
   for (auto &place : places_)
     if (!place.idle.empty() &&
@@ -281,4 +288,4 @@
   return true;
 }
 
-} // namespace myrtlehead::nodes
+} // namespace myrtlehead::upstream
