--- a/lab/tally.h
+++ b/lab/tally.h
@@ -38,8 +38,8 @@
   std::uint64_t logs_ = 0, passedOver_ = 0;
 };
 
-// "guard: votes on on build # stage #": the package and the message of a line, its figures left out; empty if
-// it is no line of a log. `at` becomes the Unix time in whole seconds.
+// "guard: votes to promote build # at stage #": the package and the message of a line, its figures left out;
+// empty if it is no line of a log. `at` becomes the Unix time in whole seconds.
 std::string kindOf(std::string_view line, std::int64_t &at);
 
 std::string table(const std::map<std::string, Kind> &kinds);
--- a/src/app/bootstrap/deployment_decoder.h
+++ b/src/app/bootstrap/deployment_decoder.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "format/json/json.h"
-#include "policy/types.h"
+#include "policy/deployment.h"
 
 #include <stdexcept>
 #include <string>
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -1,7 +1,5 @@
 #include "cluster/job_executor.h"
 
-#include "policy/log_text.h"
-
 #include <algorithm>
 
 namespace myrtlehead::cluster {
@@ -9,6 +7,14 @@
 using custody::How;
 
 namespace {
+
+// The words that a job's reason has always had for an outcome.
+const char *reasonFor(Outcome outcome) {
+  constexpr const char *kReasons[] = {"completed",   "errored", "turned away", "timed out",
+                                      "unreachable", "reset",   "cancelled",   "not sent"};
+  return kReasons[static_cast<int>(outcome)];
+}
+
 Ran ran(How how, std::string reason) {
   Ran out{how, std::move(reason)};
   return out;
@@ -42,7 +48,7 @@
   if (stop.isCancelled()) router_.onClientDisconnected(call);
   if (!mayHaveExecuted)
     co_return ran(How::neverExecuted, decision.action == AttemptDecision::shed ? "shed" : "no node for it");
-  co_return ran(How::failed, std::string("its last try ") + word(last));
+  co_return ran(How::failed, std::string("its last try ") + reasonFor(last));
 }
 
 } // namespace myrtlehead::cluster
--- a/src/control/rollout/codec.cpp
+++ b/src/control/rollout/codec.cpp
@@ -23,7 +23,7 @@
   double build = 0, stage = 0, age = 0;
   if (!number(http::value(fields, "build"), 0, 65535, build) ||
       !number(http::value(fields, "stage"), 0, 255, stage) ||
-      !number(http::value(fields, "cap"), 0, 1, news.cap) ||
+      !number(http::value(fields, "cap"), 0, 1, news.exposureCap) ||
       !number(http::value(fields, "age_ms"), 0, 1e12, age))
     return std::nullopt;
   const auto phase = http::value(fields, "phase");
--- a/src/control/rollout/codec.h
+++ b/src/control/rollout/codec.h
@@ -3,7 +3,7 @@
 
 #include "format/http/http.h"
 #include "format/json/json.h"
-#include "policy/types.h"
+#include "policy/rollout_types.h"
 
 #include <optional>
 
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -15,10 +15,10 @@
   for (;;) {
     const auto vote = co_await router_.nextVote();
     const auto answer = co_await call(voteForm(vote));
-    log_.debug("vote", {{"verdict", word(vote.verdict)},
+    log_.debug("vote", {{"verdict", nameOf(vote.verdict)},
                         {"build", vote.build},
                         {"stage", vote.stage},
-                        {"reply", word(answer.reply)}});
+                        {"reply", nameOf(answer.reply)}});
     if (answer.news) router_.onRolloutState(*answer.news);
     router_.onVoteReply(answer.reply);
   }
@@ -106,8 +106,7 @@
   if (event.name == "flag" && form) {
     const auto flag = readFlag(fields);
     const auto at = flag ? std::find(routes_.begin(), routes_.end(), flag->route) : routes_.end();
-    if (at != routes_.end())
-      router_.onWrongAnswerReport(flag->server, static_cast<int>(at - routes_.begin()), flag->age);
+    if (at != routes_.end()) router_.onWrongAnswerReport(flag->server, flag->age);
     return at != routes_.end();
   }
   return event.name == "tally" && form; // other deployments' counts, which this protocol does not carry
--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -84,9 +84,9 @@
     auto *target = decision.endpoint;
     auto tried = co_await listener_.pool_.attempt(*target, statement, until, decision.sendBy,
                                                   [&] { return router.isStillCurrent(call); });
-    listener_.log_.debug(
-        "try",
-        {{"node", target->name}, {"outcome", word(tried.outcome)}, {"load_fields", tried.loads.size()}});
+    listener_.log_.debug("attempt", {{"endpoint", target->name},
+                                     {"outcome", nameOf(tried.outcome)},
+                                     {"load_fields", tried.loads.size()}});
     if (!tried.loads.empty()) router.onLoadReport(call, tried.loads);
     if (gone_.isCancelled()) router.onClientDisconnected(call);
     decision = router.onAttemptFinished(call, tried.outcome);
--- a/src/policy/discovery_subscription.h
+++ b/src/policy/discovery_subscription.h
@@ -5,7 +5,7 @@
 // chance.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/deployment.h"
 
 #include <limits>
 
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -3,8 +3,9 @@
 // I/O, no clock of its own: times are the instance's, whole nanoseconds.
 #pragma once
 
+#include "policy/endpoint.h"
+#include "policy/rollout_types.h"
 #include "policy/subsetting.h"
-#include "policy/types.h"
 
 #include <map>
 #include <set>
--- /dev/null
+++ b/src/policy/endpoint_set.cpp
@@ -0,0 +1,20 @@
+#include "policy/endpoint_set.h"
+
+namespace myrtlehead {
+
+void EndpointSet::onUpdate(Endpoint &endpoint, const EndpointInfo &info) {
+  endpoint.info = info;
+  endpoint.isReady = info.state == EndpointState::ready;
+  endpoint.inListBeingRead = true;
+}
+
+void EndpointSet::onListComplete(bool isComplete) {
+  ready_.clear();
+  for (auto &endpoint : endpoints_) {
+    if (isComplete && !endpoint.inListBeingRead) endpoint.isReady = false;
+    endpoint.inListBeingRead = false;
+    if (endpoint.isReady) ready_.push_back(&endpoint);
+  }
+}
+
+} // namespace myrtlehead
--- a/src/policy/job_lease.h
+++ b/src/policy/job_lease.h
@@ -8,7 +8,7 @@
 // waits `grace` for that.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/deployment.h"
 
 #include <cstdint>
 #include <string>
--- /dev/null
+++ b/src/policy/latency_tracker.cpp
@@ -0,0 +1,36 @@
+#include "policy/latency_tracker.h"
+
+namespace myrtlehead {
+
+namespace {
+
+constexpr double kEndpointMeanWeight = 0.1;                    // of the newest sample
+constexpr double kOverallMeanWeight = kEndpointMeanWeight / 4; // of the newest sample
+constexpr double kQuartileStep = 0.1;                          // relative step of a quartile's estimate
+constexpr int kTimeoutPenalty = 2;                             // a timed-out attempt would have taken longer
+constexpr double kSlowZoneRatio = 3;                           // other zones' quartile over the own zone's
+
+} // namespace
+
+void LatencyTracker::onOutcome(Endpoint &endpoint, Outcome outcome, Nanoseconds duration, Nanoseconds now) {
+  if (outcome == Outcome::succeeded || outcome == Outcome::timedOut) {
+    const bool isTimeout = outcome == Outcome::timedOut;
+    const auto sample = static_cast<double>(isTimeout ? kTimeoutPenalty * duration : duration);
+    auto &latency = endpoint.latency;
+    latency.mean = latency.mean > 0 ? latency.mean + kEndpointMeanWeight * (sample - latency.mean) : sample;
+    latency.updatedAt = now;
+    mean_ = mean_ > 0 ? mean_ + kOverallMeanWeight * (sample - mean_) : sample;
+  }
+  if (outcome != Outcome::succeeded) return;
+  // The lower quartile: slow endpoints and builds leave it alone.
+  auto &quartile = endpoint.info.zone == deployment_.zone ? ownZoneLowerQuartile_ : otherZonesLowerQuartile_;
+  const auto sample = static_cast<double>(duration);
+  const double factor = sample < quartile ? 1 - 3 * kQuartileStep : 1 + kQuartileStep;
+  quartile = quartile <= 0 ? sample : quartile * factor;
+}
+
+bool LatencyTracker::areOtherZonesSlow() const {
+  return ownZoneLowerQuartile_ > 0 && otherZonesLowerQuartile_ > kSlowZoneRatio * ownZoneLowerQuartile_;
+}
+
+} // namespace myrtlehead
--- a/src/policy/log_text.h
+++ b/src/policy/log_text.h
@@ -1,36 +1,40 @@
-// The words and the form of log lines.
+// The words and the form of the decisions' log lines.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/request.h"
+#include "policy/rollout_types.h"
 
 #include <cstdio>
+#include <string>
 
 namespace myrtlehead {
 
-inline const char *word(Verdict v) {
-  constexpr const char *kWords[] = {"withdraws", "on", "hold", "back"};
-  return kWords[static_cast<int>(v)];
+inline const char *nameOf(Verdict verdict) {
+  constexpr const char *kNames[] = {"abstain", "promote", "hold", "roll back"};
+  return kNames[static_cast<int>(verdict)];
 }
 
-inline const char *word(RolloutPhase p) {
-  constexpr const char *kWords[] = {"on trial", "going back", "released", "withdrawn"};
-  return kWords[static_cast<int>(p)];
+inline const char *nameOf(RolloutPhase phase) {
+  constexpr const char *kNames[] = {"evaluating", "rolling back", "released", "withdrawn"};
+  return kNames[static_cast<int>(phase)];
 }
 
-inline const char *word(Outcome o) {
-  constexpr const char *kWords[] = {"completed",   "errored", "turned away", "timed out",
-                                    "unreachable", "reset",   "cancelled",   "not sent"};
-  return kWords[static_cast<int>(o)];
+inline const char *nameOf(Outcome outcome) {
+  constexpr const char *kNames[] = {"succeeded",   "failed", "rejected",  "timed out",
+                                    "unreachable", "reset",  "cancelled", "not sent"};
+  return kNames[static_cast<int>(outcome)];
 }
 
-inline const char *word(VoteReply r) {
-  constexpr const char *kWords[] = {"ok", "moot", "full", "error", "no answer"};
-  return kWords[static_cast<int>(r)];
+inline const char *nameOf(VoteReply reply) {
+  constexpr const char *kNames[] = {"accepted", "outdated", "rate limited", "error", "no reply"};
+  return kNames[static_cast<int>(reply)];
 }
 
-template <class... A> std::string line(const char *format, A... a) {
-  char text[160];
-  std::snprintf(text, sizeof text, format, a...);
+// A log line of 159 characters at most, by a printf format.
+template <class... Arguments> std::string formatLine(const char *format, Arguments... arguments) {
+  constexpr std::size_t kMaxLength = 160;
+  char text[kMaxLength];
+  std::snprintf(text, sizeof text, format, arguments...);
   return text;
 }
 
--- a/src/policy/outlier_gossip.h
+++ b/src/policy/outlier_gossip.h
@@ -4,7 +4,9 @@
 // its cost does not grow with the square of the fleet.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/due_actions.h"
+#include "policy/random.h"
+#include "policy/request.h"
 
 #include <cstddef>
 #include <cstdint>
--- /dev/null
+++ b/src/policy/rollout_roles.cpp
@@ -0,0 +1,32 @@
+#include "policy/rollout_roles.h"
+
+#include <algorithm>
+
+namespace myrtlehead {
+
+namespace {
+constexpr double kMinReportedMove = 0.3; // with many fusion centers
+}
+
+int fusionCenterCount(const Deployment &deployment) {
+  if (!deployment.hasPeers) return deployment.instanceCount;
+  const auto &rollout = deployment.rollout;
+  const int wanted = std::max({rollout.votesToRollBack, rollout.votesToHold, kMinFusionCenters});
+  return std::min(wanted, deployment.instanceCount);
+}
+
+bool isFusionCenter(const Deployment &deployment) {
+  return deployment.ownIndex < fusionCenterCount(deployment);
+}
+
+int promotionVoterCount(const Deployment &deployment) {
+  const int centers = fusionCenterCount(deployment);
+  const int wanted = std::max(deployment.rollout.votesToPromote + centers / 2, centers);
+  return std::min(wanted, deployment.instanceCount);
+}
+
+double minReportedMove(const Deployment &deployment) {
+  return kMinReportedMove * std::max(1 - 1.0 * kMinFusionCenters / fusionCenterCount(deployment), 0.0);
+}
+
+} // namespace myrtlehead
--- /dev/null
+++ b/src/policy/routing_policy.h
@@ -0,0 +1,102 @@
+// The decisions of one instance: where each request goes, what follows each outcome, what is voted on the
+// newest build. The rules stand in the classes of this folder, one rule a class; this class owns them and
+// says in which order they are asked.
+//
+// No I/O: the caller passes the time, carries out what is decided and notifies of what has happened. All
+// randomness comes from the seed.
+#pragma once
+
+#include "policy/build_selector.h"
+#include "policy/deployment.h"
+#include "policy/due_actions.h"
+#include "policy/endpoint_set.h"
+#include "policy/exposure_budget.h"
+#include "policy/fusion_center.h"
+#include "policy/latency_tracker.h"
+#include "policy/load_balancer.h"
+#include "policy/outlier_detector.h"
+#include "policy/overload_controller.h"
+#include "policy/random.h"
+#include "policy/request.h"
+#include "policy/retry_policy.h"
+#include "policy/rollout_tracker.h"
+#include "policy/rollout_voter.h"
+#include "policy/sequential_test.h"
+#include "policy/slow_start.h"
+#include "policy/stall_detector.h"
+#include "policy/sticky_keys.h"
+
+namespace myrtlehead {
+
+class RoutingPolicy {
+public:
+  RoutingPolicy(Deployment deployment, std::uint64_t seed, Nanoseconds now);
+  RoutingPolicy(const RoutingPolicy &) = delete;
+  RoutingPolicy &operator=(const RoutingPolicy &) = delete;
+
+  // What to do with a request that has no attempt in flight.
+  RoutingDecision route(Request &request, Nanoseconds now);
+  // What to do after an attempt. attempt: its index in the request; isAnswered: the client has its answer.
+  RoutingDecision onAttemptFinished(Request &request, std::size_t attempt, Outcome outcome,
+                                    Nanoseconds duration, bool isAnswered, Nanoseconds now);
+  // Until route() should be called again for a request that waits; 0: an outcome is awaited.
+  Nanoseconds recheckDelay(const Request &request) const;
+  // Until runDueTasks() should be called again.
+  Nanoseconds dueTaskInterval() const { return StallDetector::kCheckInterval; }
+  // To be called after each batch of notifications, and every dueTaskInterval().
+  DueActions runDueTasks(Nanoseconds now);
+
+  // Notifications of the endpoint list.
+  Endpoint &addEndpoint() { return endpoints_.add(); }
+  void onEndpointUpdate(Endpoint &endpoint, const EndpointInfo &info, Nanoseconds now);
+  void onEndpointListComplete(bool isComplete) { endpoints_.onListComplete(isComplete); }
+  // See OutlierDetector::trustOnlyProvenSince().
+  void trustOnlyProvenSince(Nanoseconds since) { outliers_.trustOnlyProvenSince(since); }
+  void onLoadReport(Endpoint &endpoint, const std::vector<float> &values, Nanoseconds now);
+
+  // Notifications of the rollout and of other instances.
+  void onRolloutState(const RolloutState &state, Nanoseconds now);
+  void onVoteReply(VoteReply reply, Nanoseconds now);
+  void onPeerMessage(int from, const std::uint8_t *bytes, std::size_t size, Nanoseconds now);
+  void onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds sentAgo, Nanoseconds now);
+  void onFailureCounts(int build, int route, std::uint32_t failures, std::uint32_t total, Nanoseconds now);
+
+  // Notifications of a request.
+  void onAnswerStarted(Request &request) { request.answerStarted = true; }
+  void onClientDisconnected(Request &request) { request.finished = true; }
+
+  // As configured, but tenants' quotas are this instance's part of them.
+  const Deployment &deployment() const { return deployment_; }
+  std::deque<Endpoint> &endpoints() { return endpoints_.all(); }
+  const std::vector<Endpoint *> &readyEndpoints() const { return endpoints_.ready(); }
+  Nanoseconds provenSince() const { return outliers_.provenSince(); }
+
+private:
+  friend struct PolicyTestPeer;
+  void countRequest(Request &request);
+  void countOutcome(const Request &request, const Attempt &attempt, Outcome outcome, Nanoseconds duration,
+                    Nanoseconds now);
+  RoutingDecision forward(Request &request, Endpoint &endpoint, Nanoseconds now);
+  RoutingDecision giveUp(Request &request);
+
+  Deployment deployment_;
+  RandomEngine random_;
+  EndpointSet endpoints_;
+  StallDetector stalls_;
+  RolloutTracker rollout_;
+  LatencyTracker latency_;
+  SlowStart slowStart_;
+  OutlierDetector outliers_;
+  OverloadController overload_;
+  RetryPolicy retries_;
+  ExposureBudget exposure_;
+  StickyKeys stickyKeys_;
+  FusionCenter fusion_;
+  SequentialTest test_;
+  RolloutVoter voter_;
+  LoadBalancer balancer_;
+  BuildSelector selector_;
+  DueActions due_; // until runDueTasks() returns them
+};
+
+} // namespace myrtlehead
--- /dev/null
+++ b/src/policy/time.h
@@ -0,0 +1,18 @@
+// Time as the decisions count it: whole nanoseconds of the instance's own clock.
+#pragma once
+
+#include <cstdint>
+#include <limits>
+
+namespace myrtlehead {
+
+using Nanoseconds = std::int64_t;
+
+constexpr Nanoseconds kMicrosecond = 1'000;
+constexpr Nanoseconds kMillisecond = 1'000'000;
+constexpr Nanoseconds kSecond = 1'000'000'000;
+constexpr Nanoseconds kNoDeadline = std::numeric_limits<Nanoseconds>::max();
+
+constexpr double inSeconds(Nanoseconds time) { return static_cast<double>(time) / 1e9; }
+
+} // namespace myrtlehead
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -6,37 +6,45 @@
 namespace myrtlehead {
 
 namespace {
-constexpr Nanoseconds kForgotten = 120 *
-                                   kSecond; // twice the longest route timeout that a configuration leaves out
+
+constexpr Nanoseconds kEndpointRetention = 120 * kSecond; // twice the longest route timeout by default
+constexpr std::uint16_t kFingerprints = 0xffff;
+
+std::uint16_t fingerprintOf(const std::string &name) {
+  return static_cast<std::uint16_t>(1 + XXH64(name.data(), name.size(), 0) % kFingerprints);
 }
 
-RequestContext::RequestContext(int route, std::uint64_t key, Nanoseconds patience, bool repeat,
+} // namespace
+
+RequestContext::RequestContext(int route, std::uint64_t key, Nanoseconds timeout, bool isClientRetry,
                                Nanoseconds now) {
-  rq_.route = route;
-  rq_.key = key;
-  rq_.taken = now;
-  rq_.deadline = now + patience;
-  rq_.clientRepeat = repeat;
+  request_.route = route;
+  request_.key = key;
+  request_.receivedAt = now;
+  request_.deadline = now + timeout;
+  request_.isClientRetry = isClientRetry;
 }
 
 Router::Router(sched::Scheduler &sched, Deployment deployment, std::uint64_t seed, log::Log &log)
-    : sched_(sched), log_(log), guard_(std::move(deployment), seed, sched.now()), groupChance_(seed + 1),
-      repute_(guard_.s.d.ownIndex, guard_.s.d.instanceCount, guard_.s.d.zone), reputeChance_(seed + 3),
-      subscription_(guard_.s.d), listChance_(seed + 4) {}
+    : sched_(sched), log_(log), policy_(std::move(deployment), seed, sched.now()), priorityRandom_(seed + 1),
+      gossip_(policy_.deployment().ownIndex, policy_.deployment().instanceCount, policy_.deployment().zone),
+      gossipRandom_(seed + 3), subscription_(policy_.deployment()), subscriptionRandom_(seed + 4) {}
+
+double Router::drawForList() { return drawUniform(subscriptionRandom_); }
 
-double Router::listDraw() { return std::uniform_real_distribution<double>(0, 1)(listChance_); }
+double Router::drawForGroups() { return drawUniform(priorityRandom_); }
 
-AttemptDecision Router::carryOut(RequestContext &call, const RoutingDecision &decision) {
-  untouched_ = false;
-  touched_.notify();
-  call.target_ = nullptr;
+AttemptDecision Router::toAttempt(RequestContext &context, const RoutingDecision &decision) {
+  isIdle_ = false;
+  activity_.notify();
+  context.endpoint_ = nullptr;
   switch (decision.action) {
   case RoutingDecision::forward:
-    call.target_ = byNode_.at(decision.endpoint);
-    call.changes_ = call.target_->changes;
-    call.news_ = newsChanges_;
-    call.build_ = decision.endpoint->info.build;
-    return {AttemptDecision::forward, call.target_, now() + decision.timeout, decision.sendBy, 0};
+    context.endpoint_ = byEndpoint_.at(decision.endpoint);
+    context.endpointVersion_ = context.endpoint_->version;
+    context.rolloutVersion_ = rolloutVersion_;
+    context.build_ = decision.endpoint->info.build;
+    return {AttemptDecision::forward, context.endpoint_, now() + decision.timeout, decision.sendBy, 0};
   case RoutingDecision::shed:
     return {AttemptDecision::shed, nullptr, 0, 0, decision.retryAfter};
   case RoutingDecision::fail:
@@ -48,249 +56,269 @@
   return {};
 }
 
-sched::Task<AttemptDecision> Router::nextAttempt(RequestContext &call, sched::CancellationToken &stop) {
-  if (stop.isCancelled()) co_return AttemptDecision{}; // nobody waits for it any more
-  if (preference_.groups() > 1)
-    call.rq_.priorityGroup = preference_.pick(std::uniform_real_distribution<double>(0, 1)(groupChance_));
+sched::Task<AttemptDecision> Router::nextAttempt(RequestContext &context,
+                                                 sched::CancellationToken &cancellation) {
+  if (cancellation.isCancelled()) co_return AttemptDecision{}; // nobody waits for it any more
+  auto &request = context.request_;
+  if (prioritySelector_.groups() > 1) request.priorityGroup = prioritySelector_.pick(drawForGroups());
   for (;;) {
-    const auto decision = guard_.where(call.rq_, now());
-    if (decision.action != RoutingDecision::wait) co_return carryOut(call, decision);
-    const Nanoseconds wait = guard_.wait(call.rq_, now());
-    if (co_await sched_.sleep(wait, &stop) == sched::WakeReason::cancelled) co_return AttemptDecision{};
+    const auto decision = policy_.route(request, now());
+    if (decision.action != RoutingDecision::wait) co_return toAttempt(context, decision);
+    const auto woken = co_await sched_.sleep(policy_.recheckDelay(request), &cancellation);
+    if (woken == sched::WakeReason::cancelled) co_return AttemptDecision{};
   }
 }
 
-AttemptDecision Router::onAttemptFinished(RequestContext &call, Outcome outcome) {
-  auto &rq = call.rq_;
-  const auto last = rq.tries.size() - 1;
-  const Nanoseconds took = now() - rq.tries[last].sent;
-  if (preference_.groups() > 1 && (outcome == Outcome::succeeded || outcome == Outcome::timedOut)) {
-    const auto latencyObjective = guard_.s.d.routes[static_cast<std::size_t>(rq.route)].latencyObjective;
-    preference_.finished(call.target_->node->info.priorityGroup,
-                         static_cast<double>(took) /
-                             static_cast<double>(std::max<Nanoseconds>(latencyObjective, 1)));
-    rq.priorityGroup = preference_.pick(std::uniform_real_distribution<double>(0, 1)(groupChance_));
+AttemptDecision Router::onAttemptFinished(RequestContext &context, Outcome outcome) {
+  auto &request = context.request_;
+  const auto last = request.attempts.size() - 1;
+  const Nanoseconds duration = now() - request.attempts[last].sentAt;
+  const auto &deployment = policy_.deployment();
+  const bool tellsLatency = outcome == Outcome::succeeded || outcome == Outcome::timedOut;
+  if (prioritySelector_.groups() > 1 && tellsLatency) {
+    const auto &route = deployment.routes[static_cast<std::size_t>(request.route)];
+    const auto objective = std::max<Nanoseconds>(route.latencyObjective, 1);
+    prioritySelector_.finished(context.endpoint_->endpoint->info.priorityGroup,
+                               static_cast<double>(duration) / static_cast<double>(objective));
+    request.priorityGroup = prioritySelector_.pick(drawForGroups());
   }
-  if (guard_.s.d.hasPeers && call.target_->changes == call.changes_) { // else nobody would be told
-    auto &node = *call.target_->node;
-    repute_.finished(node.mark, outcome);
-    node.doubtedUntil = repute_.doubtedUntil(node.mark);
+  if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
+    auto &endpoint = *context.endpoint_->endpoint;
+    gossip_.finished(endpoint.fingerprint, outcome);
+    endpoint.health.suspectUntilByPeers = gossip_.doubtedUntil(endpoint.fingerprint);
   }
-  const bool settled = outcome == Outcome::succeeded || rq.ended;
-  return carryOut(call, guard_.after(rq, static_cast<int>(last), outcome, took, settled, now()));
+  const bool isAnswered = outcome == Outcome::succeeded || request.finished;
+  return toAttempt(context, policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
 }
 
-bool Router::isStillCurrent(const RequestContext &call) const {
-  const bool sameNode = call.target_ != nullptr && call.target_->changes == call.changes_;
-  return sameNode && (call.news_ == newsChanges_ || call.build_ < news_.build);
+bool Router::isStillCurrent(const RequestContext &context) const {
+  const auto *endpoint = context.endpoint_;
+  if (endpoint == nullptr || endpoint->version != context.endpointVersion_) return false;
+  return context.rolloutVersion_ == rolloutVersion_ || context.build_ < rolloutState_.build;
 }
 
-void Router::onClientDisconnected(RequestContext &call) { guard_.gone(call.rq_); }
+void Router::onClientDisconnected(RequestContext &context) { policy_.onClientDisconnected(context.request_); }
 
-// Guards an endpoint's new life against a report of its former one.
-void Router::onLoadReport(const RequestContext &call, const std::vector<float> &values) {
-  const auto *t = call.target_;
-  if (t != nullptr && t->changes == call.changes_) guard_.loadReport(*t->node, values, now());
+// Guards a new incarnation of the endpoint against a report of an earlier one.
+void Router::onLoadReport(const RequestContext &context, const std::vector<float> &values) {
+  const auto *endpoint = context.endpoint_;
+  if (endpoint != nullptr && endpoint->version == context.endpointVersion_)
+    policy_.onLoadReport(*endpoint->endpoint, values, now());
 }
 
 sched::Task<> Router::nextListRequest() {
-  while (now() < subscription_.callAt()) co_await sched_.wait(listSignal_, {subscription_.callAt(), nullptr});
+  while (now() < subscription_.callAt())
+    co_await sched_.wait(listRequestChanged_, {subscription_.callAt(), nullptr});
   subscription_.called(now());
 }
 
-// Guards memory against endpoint names that are ever new: a place that no list has named for longer than any
-// request lasts, and that no attempt is out at, is taken for the next name.
-UpstreamEndpoint &Router::known(const std::string &name) {
-  auto &place = byName_[name];
-  if (place != nullptr) return *place;
-  const auto free = std::find_if(targets_.begin(), targets_.end(), [&](const UpstreamEndpoint &t) {
-    return !t.listed && t.node->inflight == 0 && now() - t.namedAt >= kForgotten;
+UpstreamEndpoint &Router::endpointNamed(const std::string &name) {
+  auto &known = byName_[name];
+  if (known != nullptr) return *known;
+  known = &reuseOrAddEndpoint();
+  known->name = name;
+  known->lastReadyAt = now();
+  known->endpoint->id = known->index;
+  known->endpoint->fingerprint = fingerprintOf(name);
+  return *known;
+}
+
+// Guards memory against endpoint names that are ever new: an endpoint that no list has had for longer than
+// any request lasts, and that no attempt is in flight at, is reused for the next name.
+UpstreamEndpoint &Router::reuseOrAddEndpoint() {
+  const auto unused = std::find_if(endpoints_.begin(), endpoints_.end(), [&](const UpstreamEndpoint &each) {
+    return !each.isReady && each.endpoint->inFlight == 0 && now() - each.lastReadyAt >= kEndpointRetention;
   });
-  if (free != targets_.end()) {
-    place = &*free;
-    byName_.erase(place->name);
-    *place->node = Endpoint{};
-    ++place->changes;
-  } else {
-    place = &targets_.emplace_back();
-    place->index = targets_.size() - 1;
-    place->node = &guard_.addEndpoint();
-    byNode_[place->node] = place;
+  if (unused != endpoints_.end()) {
+    byName_.erase(unused->name);
+    *unused->endpoint = Endpoint{};
+    ++unused->version;
+    return *unused;
   }
-  place->name = name;
-  place->node->door = place->index;
-  place->node->mark = static_cast<std::uint16_t>(1 + XXH64(name.data(), name.size(), 0) % 0xffff);
-  place->namedAt = now();
-  return *place;
+  auto &added = endpoints_.emplace_back();
+  added.index = endpoints_.size() - 1;
+  added.endpoint = &policy_.addEndpoint();
+  byEndpoint_[added.endpoint] = &added;
+  return added;
 }
 
-void Router::onEndpointUpdates(const std::vector<Entry> &entries, bool whole) {
-  if (sources_ == nullptr) return apply(entries, whole);
-  sources_->listed(entries, whole, now());
-  apply(sources_->merged(now()), true);
+void Router::onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete) {
+  if (merge_ == nullptr) return applyUpdates(entries, isComplete);
+  merge_->listed(entries, isComplete, now());
+  applyUpdates(merge_->merged(now()), true);
 }
 
-void Router::mergeWith(endpoint_merge::EndpointMerge &sources) { sources_ = &sources; }
+void Router::mergeWith(endpoint_merge::EndpointMerge &merge) { merge_ = &merge; }
 
-void Router::onMergeChanged() { apply(sources_->merged(now()), true); }
+void Router::onMergeChanged() { applyUpdates(merge_->merged(now()), true); }
 
-// Guards an endpoint that list and names call differently: it keeps its life where the name that leads
+// Guards an endpoint that list and DNS records name differently: it keeps its state where the name that leads
 // changes.
-void Router::rename(const std::vector<Entry> &entries) {
+void Router::adoptLeadingNames(const std::vector<Entry> &entries) {
   std::unordered_map<std::string_view, UpstreamEndpoint *> byAddress;
-  for (auto &t : targets_)
-    if (t.listed) byAddress[t.address] = &t;
-  std::unordered_map<std::string_view, const Entry *> named;
-  for (const auto &e : entries) named[e.name] = &e;
-  for (const auto &e : entries) {
-    const auto t = byAddress.find(e.address);
-    if (t == byAddress.end() || t->second->name == e.name || byName_.contains(e.name) ||
-        named.contains(t->second->name))
-      continue;
-    byName_.erase(t->second->name);
-    t->second->name = e.name;
-    byName_[e.name] = t->second;
+  for (auto &endpoint : endpoints_)
+    if (endpoint.isReady) byAddress[endpoint.address] = &endpoint;
+  std::unordered_map<std::string_view, const Entry *> entryNamed;
+  for (const auto &entry : entries) entryNamed[entry.name] = &entry;
+  for (const auto &entry : entries) {
+    const auto found = byAddress.find(entry.address);
+    if (found == byAddress.end() || found->second->name == entry.name) continue;
+    auto &endpoint = *found->second;
+    if (byName_.contains(entry.name) || entryNamed.contains(endpoint.name)) continue;
+    byName_.erase(endpoint.name);
+    endpoint.name = entry.name;
+    byName_[entry.name] = &endpoint;
   }
 }
 
-// What rests is counted each tenth of a second; only where there is more than one group.
-void Router::observeGroups() {
-  if (sources_ == nullptr || (preference_.groups() <= 1 && sources_->figures().groups <= 1)) return;
-  std::vector<priority_selector::PrioritySelector::Group> groups(
-      std::max<std::size_t>(sources_->figures().groups, 1));
-  for (const auto *n : guard_.s.ready) {
-    const auto priorityGroup = std::min(static_cast<std::size_t>(n->info.priorityGroup), groups.size() - 1);
-    ++groups[priorityGroup].servers;
-    groups[priorityGroup].resting += n->restUntil > now();
+// Only where there is more than one group.
+void Router::observePriorityGroups() {
+  if (merge_ == nullptr) return;
+  const auto groups = merge_->figures().groups;
+  if (prioritySelector_.groups() <= 1 && groups <= 1) return;
+  std::vector<priority_selector::PrioritySelector::Group> observed(std::max<std::size_t>(groups, 1));
+  for (const auto *endpoint : policy_.readyEndpoints()) {
+    const auto index = static_cast<std::size_t>(endpoint->info.priorityGroup);
+    auto &group = observed[std::min(index, observed.size() - 1)];
+    ++group.servers;
+    group.resting += endpoint->health.ejectedUntil > now();
   }
-  preference_.observe(groups, now());
+  prioritySelector_.observe(observed, now());
 }
 
-void Router::apply(const std::vector<Entry> &entries, bool whole) {
-  if (sources_ != nullptr) rename(entries);
-  for (const auto &e : entries) {
-    auto &t = known(e.name);
-    const auto &was = t.node->info;
-    const auto &is = e.info;
-    if (!t.listed || was.build != is.build || was.startedAt != is.startedAt || was.state != is.state ||
-        t.address != e.address) {
-      ++t.changes;
-      repute_.forget(t.node->mark);
-      t.node->doubtedUntil = 0;
+void Router::applyUpdates(const std::vector<Entry> &entries, bool isComplete) {
+  if (merge_ != nullptr) adoptLeadingNames(entries);
+  for (const auto &entry : entries) {
+    auto &known = endpointNamed(entry.name);
+    const auto &before = known.endpoint->info;
+    const auto &after = entry.info;
+    const bool isChanged = before.build != after.build || before.startedAt != after.startedAt ||
+                           before.state != after.state || known.address != entry.address;
+    if (!known.isReady || isChanged) {
+      ++known.version;
+      gossip_.forget(known.endpoint->fingerprint);
+      known.endpoint->health.suspectUntilByPeers = 0;
     }
-    t.address = e.address;
-    guard_.listed(*t.node, is, now());
+    known.address = entry.address;
+    policy_.onEndpointUpdate(*known.endpoint, after, now());
   }
-  guard_.listComplete(whole);
-  for (auto &t : targets_) {
-    if (t.listed && !t.node->named) ++t.changes; // left out of a whole list
-    t.listed = t.node->named;
-    if (t.listed) t.namedAt = now();
+  policy_.onEndpointListComplete(isComplete);
+  for (auto &known : endpoints_) {
+    if (known.isReady && !known.endpoint->isReady) ++known.version; // left out of a complete list
+    known.isReady = known.endpoint->isReady;
+    if (known.isReady) known.lastReadyAt = now();
   }
-  round();
+  runDueTasks();
 }
 
-void Router::onListMessage(bool here) {
-  subscription_.line(here, now(), listDraw());
-  listSignal_.notify();
+void Router::onListMessage(bool isCurrentPlace) {
+  subscription_.line(isCurrentPlace, now(), drawForList());
+  listRequestChanged_.notify();
 }
 
 void Router::onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others,
-                          bool last) {
-  if (sources_ != nullptr && last) sources_->listFailed();
-  subscription_.ended(how, others, now(), listDraw());
-  listSignal_.notify();
-  round();
+                          bool isLast) {
+  if (merge_ != nullptr && isLast) merge_->listFailed();
+  subscription_.ended(how, others, now(), drawForList());
+  listRequestChanged_.notify();
+  runDueTasks();
 }
 
 void Router::onDiscoveryMoved() {
-  subscription_.moved(now(), listDraw());
-  listSignal_.notify();
+  subscription_.moved(now(), drawForList());
+  listRequestChanged_.notify();
 }
 
 UpstreamEndpoint *Router::findEndpoint(const std::string &name) {
-  const auto it = byName_.find(name);
-  return it == byName_.end() ? nullptr : it->second;
+  const auto found = byName_.find(name);
+  return found == byName_.end() ? nullptr : found->second;
 }
 
 sched::Task<Vote> Router::nextVote() {
-  while (votes_.empty()) co_await sched_.wait(voteSignal_);
+  while (votes_.empty()) co_await sched_.wait(voteQueued_);
   const auto vote = votes_.front();
   votes_.pop_front();
   co_return vote;
 }
 
 void Router::onVoteReply(VoteReply reply) {
-  guard_.voteAnswered(reply, now());
-  round();
+  policy_.onVoteReply(reply, now());
+  runDueTasks();
 }
 
-void Router::onRolloutState(const RolloutState &news) {
-  const bool same = news.build == news_.build && news.stage == news_.stage && news.phase == news_.phase &&
-                    news.cap == news_.cap;
-  if (!same) ++newsChanges_;
-  news_ = news;
-  guard_.news(news, now());
-  round();
+void Router::onRolloutState(const RolloutState &state) {
+  const bool isSame = state.build == rolloutState_.build && state.stage == rolloutState_.stage &&
+                      state.phase == rolloutState_.phase && state.exposureCap == rolloutState_.exposureCap;
+  if (!isSame) ++rolloutVersion_;
+  rolloutState_ = state;
+  policy_.onRolloutState(state, now());
+  runDueTasks();
 }
 
-void Router::onWrongAnswerReport(const std::string &node, int route, Nanoseconds age) {
-  if (auto *t = findEndpoint(node)) guard_.flagged(*t->node, route, age, now());
+void Router::onWrongAnswerReport(const std::string &name, Nanoseconds sentAgo) {
+  if (auto *known = findEndpoint(name)) policy_.onWrongAnswerReport(*known->endpoint, sentAgo, now());
 }
 
 sched::Task<PeerMessage> Router::nextPeerMessage() {
-  while (notes_.empty()) co_await sched_.wait(noteSignal_);
-  auto note = std::move(notes_.front());
-  notes_.pop_front();
-  co_return note;
+  while (messages_.empty()) co_await sched_.wait(messageQueued_);
+  auto message = std::move(messages_.front());
+  messages_.pop_front();
+  co_return message;
 }
 
 void Router::onPeerMessage(int from, std::string_view bytes) {
   const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
-  if (const auto telling = outlier_gossip::unpack(data, bytes.size())) {
-    repute_.heard(from, *telling, now(), reputeChance_);
-    return doubt(*telling);
+  if (const auto gossip = outlier_gossip::unpack(data, bytes.size())) {
+    gossip_.heard(from, *gossip, now(), gossipRandom_);
+    applyGossip(*gossip);
+    return;
   }
-  guard_.note(from, data, bytes.size(), now());
-  untouched_ = false;
-  touched_.notify();
+  policy_.onPeerMessage(from, data, bytes.size(), now());
+  isIdle_ = false;
+  activity_.notify();
 }
 
-void Router::doubt(const outlier_gossip::Telling &telling) {
-  for (const auto &seen : telling.nodes)
-    for (auto &t : targets_)
-      if (t.node->mark == seen.node) t.node->doubtedUntil = repute_.doubtedUntil(seen.node);
+void Router::applyGossip(const outlier_gossip::Telling &gossip) {
+  for (const auto &seen : gossip.nodes)
+    for (auto &known : endpoints_)
+      if (known.endpoint->fingerprint == seen.node)
+        known.endpoint->health.suspectUntilByPeers = gossip_.doubtedUntil(seen.node);
 }
 
-void Router::round() {
-  const bool namesFollowed = sources_ != nullptr;
-  const Nanoseconds since = subscription_.provenSince(now(), namesFollowed);
-  if (since == discovery_subscription::kNothingProven && guard_.s.provenSince != since)
+void Router::updateListTrust() {
+  const bool usesDnsRecords = merge_ != nullptr;
+  const Nanoseconds since = subscription_.provenSince(now(), usesDnsRecords);
+  const Nanoseconds before = policy_.provenSince();
+  if (since == discovery_subscription::kNothingProven && before != since)
     log_.warning(
-        "no list has come since the start and a call for it has failed: nothing is sent until one comes");
-  else if (since != 0 && guard_.s.provenSince == 0)
-    log_.info("the list is out of date: only nodes that have just served are sent to");
-  else if (since == 0 && guard_.s.provenSince != 0)
-    log_.info("the list is told again");
-  guard_.unsure(since);
-  auto due = guard_.due(now());
-  if (guard_.s.d.hasPeers)
-    for (auto &note : repute_.due(now(), reputeChance_)) due.notes.push_back(std::move(note));
-  for (const auto &line : due.lines) log_.info(line);
-  for (auto &note : due.notes) notes_.push_back(std::move(note));
-  if (!due.notes.empty()) noteSignal_.notify();
+        "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
+  else if (since != 0 && before == 0)
+    log_.info("endpoint list out of date: only endpoints that have just served are used");
+  else if (since == 0 && before != 0)
+    log_.info("endpoint list up to date again");
+  policy_.trustOnlyProvenSince(since);
+}
+
+void Router::runDueTasks() {
+  updateListTrust();
+  auto due = policy_.runDueTasks(now());
+  if (policy_.deployment().hasPeers)
+    for (auto &message : gossip_.due(now(), gossipRandom_)) due.messages.push_back(std::move(message));
+  for (const auto &line : due.logLines) log_.info(line);
+  for (auto &message : due.messages) messages_.push_back(std::move(message));
+  if (!due.messages.empty()) messageQueued_.notify();
   for (const auto &vote : due.votes) votes_.push_back(vote);
-  if (!due.votes.empty()) voteSignal_.notify();
+  if (!due.votes.empty()) voteQueued_.notify();
 }
 
 sched::Task<> Router::run() {
   for (;;) {
-    round();
-    observeGroups();
-    untouched_ = true;
-    co_await sched_.sleep(guard_.s.d.tickInterval); // what comes in meanwhile is looked at together
-    const sched::Deadline beat{now() + guard_.wait(now()), nullptr};
-    if (untouched_) co_await sched_.wait(touched_, beat);
+    runDueTasks();
+    observePriorityGroups();
+    isIdle_ = true;
+    co_await sched_.sleep(policy_.deployment().tickInterval); // what comes in meanwhile is handled together
+    const sched::Deadline nextLook{now() + policy_.dueTaskInterval(), nullptr};
+    if (isIdle_) co_await sched_.wait(activity_, nextLook);
   }
 }
 
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,48 +1,57 @@
-// The facade before the decision module, in blocking style: network code awaits what to do and reports what
-// came of it. It knows no protocol and decides nothing; the guard's facts and due lists stay behind it.
+// The facade before the decisions, in blocking style: network code awaits what to do with a request and
+// reports what came of each attempt; control code notifies of the endpoint list, the rollout and the peers.
+// It knows no protocol and decides nothing.
 #pragma once
 
 #include "base/log/log.h"
 #include "base/sched/scheduler.h"
 #include "policy/discovery_subscription.h"
 #include "policy/endpoint_merge.h"
-#include "policy/guard.h"
 #include "policy/outlier_gossip.h"
 #include "policy/priority_selector.h"
+#include "policy/routing_policy.h"
 
 #include <deque>
+#include <string>
+#include <string_view>
 #include <unordered_map>
+#include <vector>
 
 namespace myrtlehead {
 
 // An endpoint as network code knows it.
 struct UpstreamEndpoint {
-  std::string name, address;
-  std::size_t index = 0;     // in the order of first listing
-  std::uint64_t changes = 0; // grows with each change of its build, start, mode or address
-  bool listed = false;       // named by the list, and ready
-  Nanoseconds namedAt = 0;   // when it was last named as ready, or was first met
-  Endpoint *node = nullptr;
+  std::string name;
+  std::string address;          // IP address and port
+  std::size_t index = 0;        // in the order in which endpoints were first listed
+  std::uint64_t version = 0;    // grows with each change of its build, start, state or address
+  bool isReady = false;         // by the latest list
+  Nanoseconds lastReadyAt = 0;  // when it was last listed as ready, or was first met
+  Endpoint *endpoint = nullptr; // as the decisions know it
 };
 
+// What network code is to do with a request. forward: make an attempt. shed: refuse it, a retry is harmless.
+// fail: refuse it, it may have been executed. none: nobody waits for it.
 struct AttemptDecision {
   enum Action { forward, shed, fail, none } action = none;
-  UpstreamEndpoint *endpoint = nullptr;
-  Nanoseconds deadline = 0;   // forward: give the attempt up then
-  Nanoseconds sendBy = 0;     // forward: its last byte may not leave later
-  Nanoseconds retryAfter = 0; // shed: time for the client to come back, 0 for none
+  UpstreamEndpoint *endpoint = nullptr; // forward
+  Nanoseconds deadline = 0;             // forward: give the attempt up then
+  Nanoseconds sendBy = 0;               // forward: its last byte may not leave later
+  Nanoseconds retryAfter = 0;           // shed: when the client should come back; 0: not said
 };
 
-// One request in hand, from the moment that it was taken.
+// One request in flight, from the moment that it was received.
 class RequestContext {
 public:
-  RequestContext(int route, std::uint64_t key, Nanoseconds patience, bool repeat, Nanoseconds now);
+  // timeout: how long the client waits from `now` on.
+  RequestContext(int route, std::uint64_t key, Nanoseconds timeout, bool isClientRetry, Nanoseconds now);
 
 private:
   friend class Router;
-  Request rq_;
-  UpstreamEndpoint *target_ = nullptr; // of the attempt that is out
-  std::uint64_t changes_ = 0, news_ = 0;
+  Request request_;
+  UpstreamEndpoint *endpoint_ = nullptr; // of the attempt in flight
+  std::uint64_t endpointVersion_ = 0;    // when the attempt was decided on, as are the next two
+  std::uint64_t rolloutVersion_ = 0;
   int build_ = 0;
 };
 
@@ -53,73 +62,85 @@
   Router(sched::Scheduler &sched, Deployment deployment, std::uint64_t seed, log::Log &log);
 
   // Requests.
-  sched::Task<AttemptDecision>
-  nextAttempt(RequestContext &call, sched::CancellationToken &stop); // returns once there is something to do
-  AttemptDecision onAttemptFinished(RequestContext &call, Outcome outcome); // of the attempt that was out
-  bool isStillCurrent(
-      const RequestContext &call) const; // whether list and news stand as when the attempt was picked
-  void onClientDisconnected(RequestContext &call); // the client has gone away
-  void onLoadReport(const RequestContext &call,
-                    const std::vector<float> &values); // as reported with the attempt that is out
+
+  // Returns once there is something to do with the request, or the token is cancelled.
+  sched::Task<AttemptDecision> nextAttempt(RequestContext &context, sched::CancellationToken &cancellation);
+  // The attempt in flight has ended. Returns what to do next.
+  AttemptDecision onAttemptFinished(RequestContext &context, Outcome outcome);
+  // Whether endpoint list and rollout still stand as when the attempt in flight was decided on.
+  bool isStillCurrent(const RequestContext &context) const;
+  void onClientDisconnected(RequestContext &context);
+  // The load report that came with the attempt in flight, in the order of the deployment's fields.
+  void onLoadReport(const RequestContext &context, const std::vector<float> &values);
 
   // The endpoint list.
-  sched::Task<>
-  nextListRequest(); // returns when a subscription is to be asked for, and takes it as asked for
-  void onEndpointUpdates(const std::vector<Entry> &entries, bool whole);
-  void
-  onListMessage(bool here); // a sign of life, or what listed() was told; here: at discovery's present place
-  void onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others,
-                    bool last); // last: nothing is open
-  void onDiscoveryMoved();      // discovery is somewhere else from now on
+
+  // Returns when the list is to be asked for, and counts it as asked for.
+  sched::Task<> nextListRequest();
+  // isComplete: endpoints that are not among the entries are gone.
+  void onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete);
+  // Any message of an open watch. isCurrentPlace: it came from where discovery is now.
+  void onListMessage(bool isCurrentPlace);
+  // A call for the list or a watch has ended. isLast: nothing else is open.
+  void onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others, bool isLast);
+  void onDiscoveryMoved();
   UpstreamEndpoint *findEndpoint(const std::string &name);
 
-  // Name records: from now on the list and they make one set by the rule of `sources`, which must live as
+  // From now on the list goes through the merge, which adds the endpoints of DNS records and must live as
   // long.
-  void mergeWith(endpoint_merge::EndpointMerge &sources);
-  void onMergeChanged(); // what names have told has changed, or its time has come
+  void mergeWith(endpoint_merge::EndpointMerge &merge);
+  // The merge holds something new, or its time has come.
+  void onMergeChanged();
 
-  // The platform.
+  // The rollout.
   sched::Task<Vote> nextVote();
   void onVoteReply(VoteReply reply);
-  void onRolloutState(const RolloutState &news);
-  void onWrongAnswerReport(const std::string &node, int route, Nanoseconds age);
+  void onRolloutState(const RolloutState &state);
+  void onWrongAnswerReport(const std::string &endpoint, Nanoseconds sentAgo);
 
   // Other instances.
   sched::Task<PeerMessage> nextPeerMessage();
   void onPeerMessage(int from, std::string_view bytes);
 
-  sched::Task<> run(); // asks the module round, for as long as the instance lives
+  // Does what falls due of itself, for as long as the instance lives.
+  sched::Task<> run();
 
 private:
-  AttemptDecision carryOut(RequestContext &call, const RoutingDecision &decision);
-  UpstreamEndpoint &known(const std::string &name);
-  void apply(const std::vector<Entry> &entries, bool whole);
-  double listDraw();
-  void rename(const std::vector<Entry> &entries);
-  void observeGroups();
-  void doubt(const outlier_gossip::Telling &telling);
-  void round();
+  AttemptDecision toAttempt(RequestContext &context, const RoutingDecision &decision);
+  UpstreamEndpoint &endpointNamed(const std::string &name);
+  UpstreamEndpoint &reuseOrAddEndpoint();
+  void applyUpdates(const std::vector<Entry> &entries, bool isComplete);
+  void adoptLeadingNames(const std::vector<Entry> &entries);
+  void observePriorityGroups();
+  void applyGossip(const outlier_gossip::Telling &gossip);
+  void updateListTrust();
+  void runDueTasks();
+  double drawForList();
+  double drawForGroups();
   Nanoseconds now() const { return sched_.now(); }
 
   sched::Scheduler &sched_;
   log::Log &log_;
-  Guard guard_;
-  endpoint_merge::EndpointMerge *sources_ = nullptr; // none: the list alone
-  priority_selector::PrioritySelector preference_;
-  std::knuth_b groupChance_;
-  outlier_gossip::OutlierGossip repute_; // where instances may speak to each other
-  std::knuth_b reputeChance_;
+  RoutingPolicy policy_;
+  endpoint_merge::EndpointMerge *merge_ = nullptr; // null: the list alone
+  priority_selector::PrioritySelector prioritySelector_;
+  RandomEngine priorityRandom_;
+  outlier_gossip::OutlierGossip gossip_; // where instances may send each other messages
+  RandomEngine gossipRandom_;
   discovery_subscription::DiscoverySubscription subscription_;
-  std::knuth_b listChance_;
-  std::deque<UpstreamEndpoint> targets_;
+  RandomEngine subscriptionRandom_;
+  std::deque<UpstreamEndpoint> endpoints_;
   std::unordered_map<std::string, UpstreamEndpoint *> byName_;
-  std::unordered_map<const Endpoint *, UpstreamEndpoint *> byNode_;
-  RolloutState news_;
-  std::uint64_t newsChanges_ = 0;
+  std::unordered_map<const Endpoint *, UpstreamEndpoint *> byEndpoint_;
+  RolloutState rolloutState_;
+  std::uint64_t rolloutVersion_ = 0; // grows with each change of the rollout's state
   std::deque<Vote> votes_;
-  std::deque<PeerMessage> notes_;
-  sched::Event touched_, listSignal_, voteSignal_, noteSignal_;
-  bool untouched_ = true;
+  std::deque<PeerMessage> messages_;
+  sched::Event activity_; // something has come in since the last look
+  sched::Event listRequestChanged_;
+  sched::Event voteQueued_;
+  sched::Event messageQueued_;
+  bool isIdle_ = true; // nothing has come in since the last look
 };
 
 } // namespace myrtlehead
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -107,7 +107,7 @@
   auto connected = co_await net::connect(sched_, budget_, *address, until);
   if (!connected) co_return connected.failure();
   auto c = std::make_unique<Connection>();
-  c->changes = target.changes;
+  c->changes = target.version;
   c->socket = std::move(*connected);
   const auto failure = co_await welcome(*c, until);
   if (failure.cause != ErrorCode::none) co_return failure;
@@ -244,7 +244,7 @@
   if (target.index >= places_.size()) return nullptr;
   auto &idle = places_[target.index].idle;
   for (std::size_t i = idle.size(); i-- > 0;) {
-    const bool fresh = idle[i]->changes == target.changes &&
+    const bool fresh = idle[i]->changes == target.version &&
                        sched_.now() - idle[i]->idleSince < idleAtMost_ / 2;
     const auto stands = fresh ? standing(*idle[i]) : useless;
     if (stands == unsettled) continue;
@@ -259,7 +259,7 @@
   while (places_.size() <= target.index) places_.emplace_back();
   auto &place = places_[target.index];
   place.target = &target;
-  if (c->changes != target.changes || !target.listed) return;
+  if (c->changes != target.version || !target.isReady) return;
   c->idleSince = sched_.now();
   c->buffer.shrink(kSmall);
   place.idle.push_back(std::move(c));
@@ -272,7 +272,7 @@
       std::erase_if(place.idle, [&](const Held &c) {
         const bool old = sched_.now() - c->idleSince >= idleAtMost_ / 2;
         const bool late = c->due > 0 && sched_.now() - c->idleSince >= kSettled;
-        return old || late || c->changes != place.target->changes || standing(*c) == useless;
+        return old || late || c->changes != place.target->version || standing(*c) == useless;
       });
   }
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -38,7 +38,7 @@
 [[names.set]]
 name = "_pg._tcp.more.example"
 )",
-                                     {"hall-a", "hall-b"});
+                                 {"hall-a", "hall-b"});
   REQUIRE(read.faults.empty());
   const auto &it = read.installation;
   REQUIRE(it.levels.of("names") == log::Level::debug);
