--- a/src/base/http_client/exchange.cpp
+++ b/src/base/http_client/exchange.cpp
@@ -7,53 +7,61 @@
 using net::SendProgress;
 
 namespace {
-constexpr std::size_t kMostBody = 4 * 1024 * 1024; // held and not yet taken
-}
+// Bounds the memory of a response whose caller waits for the end of a line or an event that never comes.
+constexpr std::size_t kMaxUnconsumedBodyBytes = 4 * 1024 * 1024;
+} // namespace
 
-net::Task<Failure> Exchange::ask(net::Address to, std::string request, net::Deadline until) {
+net::Task<Failure> Exchange::sendRequest(net::Address to, std::string request, net::Deadline until) {
   auto connected = co_await net::connect(sched_, budget_, to, until);
   if (!connected) co_return connected.failure();
   socket_ = std::move(*connected);
-  const auto cause = co_await socket_->write(request, until);
-  if (cause != ErrorCode::none) co_return Failure{cause, SendProgress::partlyWritten};
-  for (bool any = false;; any = true) {
+  const auto written = co_await socket_->write(request, until);
+  if (written != ErrorCode::none) co_return Failure{written, SendProgress::partlyWritten};
+  const auto failure = co_await readHead(until);
+  if (failure.cause != ErrorCode::none) co_return failure;
+  bodyDecoder_ = http::Body(head_);
+  const auto decoded = decodeBody();
+  co_return Failure{decoded == ErrorCode::closedByPeer ? ErrorCode::none : decoded,
+                    SendProgress::responseStarted};
+}
+
+net::Task<Failure> Exchange::readHead(net::Deadline until) {
+  auto progress = SendProgress::fullyWritten;
+  for (;;) {
     std::size_t size = 0;
     const auto parsed = http::parseAnswer(buffer_.view(), head_, size);
     if (parsed == http::Parsed::bad) co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
     if (parsed == http::Parsed::whole) {
       buffer_.consume(size);
-      break;
+      co_return Failure{ErrorCode::none, SendProgress::responseStarted};
     }
     const auto read = co_await socket_->read(buffer_, until);
-    if (read != ErrorCode::none)
-      co_return Failure{read, any ? SendProgress::responseStarted : SendProgress::fullyWritten};
+    if (read != ErrorCode::none) co_return Failure{read, progress};
+    progress = SendProgress::responseStarted;
   }
-  rest_ = http::Body(head_);
-  const auto taken = takeBody();
-  co_return Failure{taken == ErrorCode::closedByPeer ? ErrorCode::none : taken,
-                    SendProgress::responseStarted};
 }
 
-ErrorCode Exchange::takeBody() {
+// ErrorCode::closedByPeer: the body is complete.
+ErrorCode Exchange::decodeBody() {
   std::size_t used = 0;
-  const auto parsed = rest_.take(buffer_.view(), body, used);
+  const auto parsed = bodyDecoder_.take(buffer_.view(), body, used);
   buffer_.consume(used);
   if (parsed == http::Parsed::bad) return ErrorCode::unreadable;
-  if (body.size() > kMostBody) return ErrorCode::tooLarge;
-  whole_ = parsed == http::Parsed::whole;
-  return whole_ ? ErrorCode::closedByPeer : ErrorCode::none;
+  if (body.size() > kMaxUnconsumedBodyBytes) return ErrorCode::tooLarge;
+  isComplete_ = parsed == http::Parsed::whole;
+  return isComplete_ ? ErrorCode::closedByPeer : ErrorCode::none;
 }
 
-net::Task<ErrorCode> Exchange::more(net::Deadline until) {
-  const auto before = body.size();
-  while (!whole_) {
+net::Task<ErrorCode> Exchange::readMore(net::Deadline until) {
+  const auto sizeBefore = body.size();
+  while (!isComplete_) {
     const auto read = co_await socket_->read(buffer_, until);
     if (read == ErrorCode::closedByPeer)
-      co_return rest_.untilEnd() ? ErrorCode::closedByPeer : ErrorCode::connectionLost;
+      co_return bodyDecoder_.untilEnd() ? ErrorCode::closedByPeer : ErrorCode::connectionLost;
     if (read != ErrorCode::none) co_return read;
-    const auto taken = takeBody();
-    if (taken == ErrorCode::unreadable || taken == ErrorCode::tooLarge) co_return taken;
-    if (body.size() > before) co_return ErrorCode::none;
+    const auto decoded = decodeBody();
+    if (decoded == ErrorCode::unreadable || decoded == ErrorCode::tooLarge) co_return decoded;
+    if (body.size() > sizeBefore) co_return ErrorCode::none;
   }
   co_return ErrorCode::closedByPeer;
 }
--- a/src/base/http_client/persistent_connection.cpp
+++ b/src/base/http_client/persistent_connection.cpp
@@ -7,121 +7,147 @@
 using net::SendProgress;
 
 namespace {
-constexpr net::Nanoseconds kAgain = 250'000'000; // between attempts to open the standing connection
-constexpr int kPartForNew = 4; // of a call's time, one part so large goes to a new connection at most
-constexpr std::size_t kMostAnswer = 64 * 1024;
+constexpr net::Nanoseconds kReconnectBackoff = 250'000'000; // 250 ms
+constexpr net::Nanoseconds kConnectTimeout = 4 * kReconnectBackoff;
+// The fraction of a call's remaining time that is spent on a new connection while the old one could still
+// carry the call: one in so many.
+constexpr int kReconnectTimeDivisor = 4;
+constexpr std::size_t kMaxResponseBytes = 64 * 1024;
 } // namespace
 
-// Guards the call that is out where the address changes: its answer may still come.
-void PersistentConnection::leave() {
+// Guards the calls in flight when the connection is replaced: their responses may still arrive.
+void PersistentConnection::retire() {
   if (connection_ == nullptr) return;
-  connection_->left = true;
-  if (connection_->pending.empty() || connection_->overdue) connection_->socket->shutDown();
+  connection_->isReplaced = true;
+  if (connection_->pending.empty() || connection_->hasTimedOutCall) connection_->socket->shutDown();
   connection_ = nullptr;
 }
 
 void PersistentConnection::moveTo(net::Address to) {
   if (to == to_) return;
   to_ = to;
-  moved_->cancel();
-  moved_ = std::make_shared<sched::CancellationToken>();
-  leave();
+  addressChanged_->cancel();
+  addressChanged_ = std::make_shared<sched::CancellationToken>();
+  retire();
   closed_.notify();
 }
 
-void PersistentConnection::giveUp() {
-  leave();
+void PersistentConnection::discard() {
+  retire();
   closed_.notify();
 }
 
-// The new connection takes the place of the old one.
+// On success the new connection replaces the present one.
 net::Task<ErrorCode> PersistentConnection::open(net::Deadline until) {
-  const auto moved = moved_;
-  until.stop = moved.get();
+  const auto addressChanged = addressChanged_;
+  until.stop = addressChanged.get();
   auto connected = co_await net::connect(sched_, budget_, to_, until);
-  if (moved->isCancelled()) co_return ErrorCode::cancelled;
+  if (addressChanged->isCancelled()) co_return ErrorCode::cancelled;
   if (!connected) co_return connected.failure().cause;
-  leave();
+  retire();
   connection_ = std::make_shared<Connection>();
   connection_->socket = std::move(*connected);
-  sched_.spawn(readAnswers(connection_));
+  sched_.spawn(readResponses(connection_));
   co_return ErrorCode::none;
 }
 
 net::Task<> PersistentConnection::keepOpen() {
   for (;;) {
     if (!isOpen()) {
-      const net::Deadline until{sched_.now() + 4 * kAgain, nullptr};
+      const net::Deadline until{sched_.now() + kConnectTimeout, nullptr};
       const auto opened = co_await open(until);
-      if (opened != ErrorCode::none && opened != ErrorCode::cancelled) co_await sched_.sleep(kAgain);
+      if (opened != ErrorCode::none && opened != ErrorCode::cancelled)
+        co_await sched_.sleep(kReconnectBackoff);
     }
     if (isOpen()) co_await sched_.wait(closed_);
   }
 }
 
+// Returns ErrorCode::none where a connection stands, new or old.
+//
+// Guards against a connection whose other end has vanished: after a call that was not answered a new one is
+// tried first. Where it does not come up soon, the old one may still carry the call.
+net::Task<ErrorCode> PersistentConnection::openForCall(net::Deadline until) {
+  net::Deadline firstUntil = until;
+  if (isOpen()) firstUntil.at = sched_.now() + (until.at - sched_.now()) / kReconnectTimeDivisor;
+  auto opened = co_await open(firstUntil);
+  while (opened == ErrorCode::cancelled && !isOpen()) opened = co_await open(until); // at the new address
+  if (isOpen()) co_return ErrorCode::none;
+  co_return opened == ErrorCode::none ? ErrorCode::connectionLost : opened;
+}
+
 net::Task<net::Result<Response>> PersistentConnection::call(std::string request, net::Deadline until) {
-  // Guards against a connection whose other end has vanished: after a call that was not answered a new one is
-  // tried first. Where it does not come up soon, the old one may still carry the call.
-  if (!isOpen() || connection_->overdue) {
-    net::Deadline soon = until;
-    if (isOpen()) soon.at = sched_.now() + (until.at - sched_.now()) / kPartForNew;
-    auto opened = co_await open(soon);
-    while (opened == ErrorCode::cancelled && !isOpen()) opened = co_await open(until); // at the new address
-    if (!isOpen()) co_return Failure{opened == ErrorCode::none ? ErrorCode::connectionLost : opened};
+  if (!isOpen() || connection_->hasTimedOutCall) {
+    const auto opened = co_await openForCall(until);
+    if (opened != ErrorCode::none) co_return Failure{opened};
   }
-  const auto c = connection_;
-  const auto pending = std::make_shared<Pending>();
-  c->pending.push_back(pending);
-  const auto written = co_await c->socket->write(request, until);
+  const auto connection = connection_;
+  const auto pending = std::make_shared<PendingCall>();
+  connection->pending.push_back(pending);
+  const auto written = co_await connection->socket->write(request, until);
   if (written != ErrorCode::none) {
-    c->ended = true; // half a call stands on it, and whoever reads there waits for nothing
-    c->socket->shutDown();
+    // The server waits for the rest of this request, so no later one can be understood.
+    connection->hasEnded = true;
+    connection->socket->shutDown();
     closed_.notify();
     co_return Failure{written, SendProgress::partlyWritten};
   }
-  while (!pending->ended)
-    // An answer may have come in the very round in which its time was up.
-    if (co_await sched_.wait(pending->over, until) != sched::WakeReason::notified && !pending->ended) {
-      c->overdue = true;
-      if (c->left) c->socket->shutDown();
-      co_return Failure{ErrorCode::timedOut, SendProgress::fullyWritten};
-    }
-  if (pending->failure.cause != ErrorCode::none) co_return pending->failure;
-  co_return std::move(pending->answer);
+  const auto failure = co_await waitForResponse(*connection, *pending, until);
+  if (failure.cause != ErrorCode::none) co_return failure;
+  co_return std::move(pending->response);
+}
+
+net::Task<Failure> PersistentConnection::waitForResponse(Connection &connection, PendingCall &call,
+                                                         net::Deadline until) {
+  while (!call.isFinished) {
+    const auto woken = co_await sched_.wait(call.finishedEvent, until);
+    // The response may have arrived in the same scheduler round as the deadline.
+    if (woken == sched::WakeReason::notified || call.isFinished) continue;
+    connection.hasTimedOutCall = true;
+    if (connection.isReplaced) connection.socket->shutDown();
+    co_return Failure{ErrorCode::timedOut, SendProgress::fullyWritten};
+  }
+  co_return call.failure;
 }
 
-net::Task<> PersistentConnection::readAnswers(std::shared_ptr<Connection> c) {
+net::Task<> PersistentConnection::readResponses(std::shared_ptr<Connection> connection) {
   net::Buffer buffer;
   for (;;) {
-    Response answer;
-    const auto cause = co_await readAnswer(*c, buffer, answer);
-    if (cause != ErrorCode::none || c->pending.empty()) break; // an answer to nothing ends it, too
-    const auto pending = c->pending.front();
-    c->pending.pop_front();
-    c->overdue = false;
-    pending->answer = std::move(answer);
-    pending->ended = true;
-    pending->over.notify();
-    if (c->left && c->pending.empty()) break;
+    Response response;
+    const auto cause = co_await readResponse(*connection, buffer, response);
+    const bool isUnsolicited = connection->pending.empty();
+    if (cause != ErrorCode::none || isUnsolicited) break;
+    const auto pending = connection->pending.front();
+    connection->pending.pop_front();
+    connection->hasTimedOutCall = false;
+    pending->response = std::move(response);
+    pending->isFinished = true;
+    pending->finishedEvent.notify();
+    if (connection->isReplaced && connection->pending.empty()) break;
   }
-  c->ended = true;
-  for (const auto &pending : c->pending) {
+  connection->hasEnded = true;
+  failPending(*connection);
+  closed_.notify();
+}
+
+void PersistentConnection::failPending(Connection &connection) {
+  for (const auto &pending : connection.pending) {
     pending->failure = {ErrorCode::connectionLost, SendProgress::fullyWritten};
-    pending->ended = true;
-    pending->over.notify();
+    pending->isFinished = true;
+    pending->finishedEvent.notify();
   }
-  c->pending.clear();
-  closed_.notify();
+  connection.pending.clear();
 }
 
-net::Task<ErrorCode> PersistentConnection::readAnswer(Connection &c, net::Buffer &buffer, Response &out) {
+net::Task<ErrorCode> PersistentConnection::readResponse(Connection &connection, net::Buffer &buffer,
+                                                        Response &out) {
   http::Head head;
   std::size_t size = 0;
   for (;;) {
     const auto parsed = http::parseAnswer(buffer.view(), head, size);
     if (parsed == http::Parsed::bad) co_return ErrorCode::unreadable;
     if (parsed == http::Parsed::whole) break;
-    const auto cause = co_await c.socket->read(buffer, {});
+    const auto cause = co_await connection.socket->read(buffer, {});
     if (cause != ErrorCode::none) co_return cause;
   }
   buffer.consume(size);
@@ -130,9 +156,9 @@
     const auto parsed = body.take(buffer.view(), out.body, size);
     buffer.consume(size);
     if (parsed == http::Parsed::bad) co_return ErrorCode::unreadable;
-    if (out.body.size() > kMostAnswer) co_return ErrorCode::tooLarge;
+    if (out.body.size() > kMaxResponseBytes) co_return ErrorCode::tooLarge;
     if (parsed == http::Parsed::whole) break;
-    const auto cause = co_await c.socket->read(buffer, {});
+    const auto cause = co_await connection.socket->read(buffer, {});
     if (cause == ErrorCode::closedByPeer && body.untilEnd()) break;
     if (cause != ErrorCode::none) co_return cause;
   }
--- a/src/base/http_client/persistent_connection.h
+++ b/src/base/http_client/persistent_connection.h
@@ -1,5 +1,5 @@
-// A standing HTTP connection for calls that want one answer each. Calls are written back to back and their
-// answers come in that order, so a late answer is known for what it is. No call is repeated.
+// A persistent HTTP connection for calls that want one response each. Requests are pipelined and responses
+// arrive in the order of the requests, so a late response is matched to its own call. No call is retried.
 #pragma once
 
 #include "base/net/socket.h"
@@ -10,7 +10,7 @@
 namespace myrtlehead::http_client {
 
 struct Response {
-  int status = 0;
+  int status = 0; // HTTP status code
   std::string body;
 };
 
@@ -19,42 +19,48 @@
   PersistentConnection(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address to)
       : sched_(sched), budget_(budget), to_(to) {}
 
-  // Where it fails, `reach` says how far the call had come.
+  // Sends one request and waits for its response. On failure the progress says how far the call had come:
+  // only from SendProgress::fullyWritten on may the server have executed it.
   net::Task<net::Result<Response>> call(std::string request, net::Deadline until);
-  // Keeps a connection open for as long as the instance lives: one that is there when the other side stands
-  // still takes calls that a new one can't carry.
+  // Reopens the connection whenever it has closed; runs for as long as the instance. A connection that was
+  // open before the server stopped accepting still carries calls that a new one could not.
   net::Task<> keepOpen();
-  // From now on calls go there; those that are out are still answered where they were written.
+  // Later calls go to the new address; calls in flight are still answered by the old one.
   void moveTo(net::Address to);
-  // What came back can't be read: the connection is of no further use.
-  void giveUp();
+  // Stops using the present connection, after a response that can't be interpreted.
+  void discard();
 
 private:
-  struct Pending {
-    sched::Event over;
-    bool ended = false;
-    net::Failure failure;
-    Response answer;
+  // A call in flight.
+  struct PendingCall {
+    sched::Event finishedEvent;
+    bool isFinished = false;
+    net::Failure failure; // cause none: `response` is valid
+    Response response;
   };
   struct Connection {
     std::unique_ptr<net::Socket> socket;
-    std::deque<std::shared_ptr<Pending>> pending;
-    bool ended = false, overdue = false; // overdue: a call on it was given up unanswered
-    bool left = false;                   // replaced: it ends with its last answer
+    std::deque<std::shared_ptr<PendingCall>> pending; // in the order of the requests
+    bool hasEnded = false;                            // no response can arrive on it any more
+    bool hasTimedOutCall = false;                     // the latest call to end on it was not answered in time
+    bool isReplaced = false;                          // takes no further call; closes after its last response
   };
   net::Task<net::ErrorCode> open(net::Deadline until);
-  void leave();
-  net::Task<> readAnswers(std::shared_ptr<Connection> c);
-  net::Task<net::ErrorCode> readAnswer(Connection &c, net::Buffer &buffer, Response &out);
-  bool isOpen() const { return connection_ != nullptr && !connection_->ended; }
+  net::Task<net::ErrorCode> openForCall(net::Deadline until);
+  net::Task<net::Failure> waitForResponse(Connection &connection, PendingCall &call, net::Deadline until);
+  void retire();
+  net::Task<> readResponses(std::shared_ptr<Connection> connection);
+  net::Task<net::ErrorCode> readResponse(Connection &connection, net::Buffer &buffer, Response &out);
+  void failPending(Connection &connection);
+  bool isOpen() const { return connection_ != nullptr && !connection_->hasEnded; }
 
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
   net::Address to_;
   std::shared_ptr<Connection> connection_;
   sched::Event closed_;
-  std::shared_ptr<sched::CancellationToken> moved_ =
-      std::make_shared<sched::CancellationToken>(); // ends an opening at the old address
+  // Cancels an attempt to connect to an address that is no longer the server's.
+  std::shared_ptr<sched::CancellationToken> addressChanged_ = std::make_shared<sched::CancellationToken>();
 };
 
 } // namespace myrtlehead::http_client
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -59,7 +59,7 @@
   const auto target = "/catalog/members?stream=1&index=" + std::to_string(index_);
   auto request = http::writeRequest("GET", target, "discovery");
   const net::Deadline first{sched_.now() + kOver, stop};
-  const auto asked = co_await call.ask(self->at, std::move(request), first);
+  const auto asked = co_await call.sendRequest(self->at, std::move(request), first);
   auto cause = asked.cause;
   std::string line;
   if (cause == net::ErrorCode::none && call.head().status != 200) cause = net::ErrorCode::refused;
@@ -75,7 +75,7 @@
     }
     if (cause != net::ErrorCode::none) break;
     const net::Deadline next{sched_.now() + kOver, stop};
-    cause = co_await call.more(next);
+    cause = co_await call.readMore(next);
   }
   open_.erase(turn);
   if (stop->isCancelled()) co_return; // replaced: a newer one tells
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -30,7 +30,7 @@
   auto answered = co_await line_.call(std::move(request), until);
   if (answered) {
     const auto answer = readAnswer(answered->status, answered->body);
-    if (!answer) line_.giveUp(); // what stands behind it could be anything
+    if (!answer) line_.discard(); // whatever follows on it may belong to no call
     co_return answer.value_or(Answer{});
   }
   const auto &failure = answered.failure();
@@ -70,7 +70,7 @@
   http_client::Exchange exchange(sched_, budget_);
   auto request = http::writeRequest("GET", "/bulletin", "platform");
   const net::Deadline first{sched_.now() + kSilence, stop.get()};
-  const auto asked = co_await exchange.ask(at_, std::move(request), first);
+  const auto asked = co_await exchange.sendRequest(at_, std::move(request), first);
   auto cause = asked.cause;
   if (cause == net::ErrorCode::none && exchange.head().status != 200) cause = net::ErrorCode::refused;
   while (cause == net::ErrorCode::none) {
@@ -86,7 +86,7 @@
       break;
     }
     const net::Deadline next{sched_.now() + kSilence, stop.get()};
-    cause = co_await exchange.more(next);
+    cause = co_await exchange.readMore(next);
   }
   open_.erase(turn);
   if (turn != turn_) co_return; // replaced meanwhile
