--- a/src/control/peers/peer_transport.cpp
+++ b/src/control/peers/peer_transport.cpp
@@ -8,32 +8,34 @@
 namespace myrtlehead::peers {
 
 namespace {
-constexpr unsigned kTurn = 64; // datagrams, then others have theirs
-}
+constexpr unsigned kDatagramsPerTurn = 64; // then the other coroutines run
+} // namespace
 
-// What can't be sent at once is lost, as any datagram may be.
+// A message that can't be sent at once is lost, as any datagram may be.
 net::Task<> PeerTransport::send() {
   for (;;) {
-    const auto note = co_await router_.nextPeerMessage();
-    if (note.bytes.size() > kMostBytes || note.to >= static_cast<int>(peers_.size())) continue;
-    const auto &to = note.to < 0 ? all_ : peers_[static_cast<std::size_t>(note.to)];
-    sendto(socket_->fd(), note.bytes.data(), note.bytes.size(), MSG_NOSIGNAL, to.raw(), to.size());
+    const auto message = co_await router_.nextPeerMessage();
+    const bool isForAll = message.to < 0;
+    if (message.bytes.size() > kMaxDatagramBytes) continue;
+    if (!isForAll && message.to >= static_cast<int>(peers_.size())) continue;
+    const auto &to = isForAll ? all_ : peers_[static_cast<std::size_t>(message.to)];
+    sendto(socket_->fd(), message.bytes.data(), message.bytes.size(), MSG_NOSIGNAL, to.raw(), to.size());
   }
 }
 
 net::Task<> PeerTransport::receive() {
-  std::array<char, kMostBytes + 1> bytes; // one more shows a datagram that is too long
-  for (unsigned n = 1;; ++n) {
-    if (n % kTurn == 0) co_await sched_.sleep(0);
+  std::array<char, kMaxDatagramBytes + 1> bytes; // one byte more shows a datagram that is too long
+  for (unsigned received = 1;; ++received) {
+    if (received % kDatagramsPerTurn == 0) co_await sched_.sleep(0);
     net::Address from;
-    socklen_t size = sizeof from.at;
-    const auto got = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.raw(), &size);
-    if (got < 0 && errno == EAGAIN) co_await socket_->readable({});
-    if (got <= 0 || static_cast<std::size_t>(got) > kMostBytes) continue;
+    socklen_t addressSize = sizeof from.at;
+    const auto size = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.raw(), &addressSize);
+    if (size < 0 && errno == EAGAIN) co_await socket_->readable({});
+    if (size <= 0 || static_cast<std::size_t>(size) > kMaxDatagramBytes) continue;
     const auto peer = std::find(peers_.begin(), peers_.end(), from);
     if (peer == peers_.end()) continue;
     router_.onPeerMessage(static_cast<int>(peer - peers_.begin()),
-                          {bytes.data(), static_cast<std::size_t>(got)});
+                          {bytes.data(), static_cast<std::size_t>(size)});
   }
 }
 
