--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -204,7 +204,7 @@
   if (station.deployment.hasPeers)
     datagrams = std::make_unique<peers::PeerTransport>(sched, budget, router, station.peerListen,
                                                        station.peers, station.peersAll);
-  if (station.known.kind != json::Value::null && !watch.start(station.known))
+  if (station.known.kind != json::Value::null && !watch.loadKnownList(station.known))
     throw bootstrap::SetupError("the configuration's 'known' is no list of nodes");
   if (const auto news = rollout::readRolloutState(station.news))
     router.onRolloutState(*news);
--- a/src/control/discovery/endpoint_list.cpp
+++ b/src/control/discovery/endpoint_list.cpp
@@ -11,68 +11,118 @@
 
 using json::Value;
 
-bool number(const Value &in, const char *name, double least, double most, double &out) {
-  const auto *v = in.find(name);
-  if (v == nullptr || v->kind != Value::number || v->real < least || v->real > most) return false;
-  out = std::floor(v->real);
-  return true;
+constexpr double kMaxIndex = 9e15; // a double holds every integer up to here
+constexpr double kMaxBuild = 65535;
+constexpr double kMaxCell = 65535;
+constexpr double kMaxStartTimeMilliseconds = 1e13;
+
+// The whole part of a number within [least, most]; nullopt: absent, no number, or out of range.
+std::optional<double> readNumber(const Value &in, const char *name, double least, double most) {
+  const auto *value = in.find(name);
+  if (value == nullptr || value->kind != Value::number) return std::nullopt;
+  if (value->real < least || value->real > most) return std::nullopt;
+  return std::floor(value->real);
 }
 
-bool text(const Value &in, const char *name, std::string &out) {
-  const auto *v = in.find(name);
-  if (v == nullptr || v->kind != Value::string) return false;
-  out = v->text;
-  return true;
+std::optional<std::string> readText(const Value &in, const char *name) {
+  const auto *value = in.find(name);
+  if (value == nullptr || value->kind != Value::string) return std::nullopt;
+  return value->text;
 }
 
-bool readMode(const std::string &status, EndpointState &out) {
-  if (status == "in_service") return out = EndpointState::ready, true;
-  if (status == "terminating") return out = EndpointState::draining, true;
-  return out = EndpointState::gone, status == "terminated";
+std::optional<EndpointState> readState(const Value &in) {
+  const auto status = readText(in, "status");
+  if (status == "in_service") return EndpointState::ready;
+  if (status == "terminating") return EndpointState::draining;
+  if (status == "terminated") return EndpointState::gone;
+  return std::nullopt;
 }
 
-const char *readEntry(const Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero,
-                      Entry &out) {
-  std::string status, zone;
-  double build = 0, since = 0, group = 0;
-  if (!text(in, "name", out.name) || out.name.empty()) return "an entry without a name";
-  if (!text(in, "status", status) || !readMode(status, out.info.state)) return "an unknown status";
-  const bool gone = out.info.state == EndpointState::gone;
-  if (!text(in, "address", out.address) && !gone) return "an entry without an address";
-  if (!gone && !net::parseAddress(out.address)) return "an address that can't be read";
-  if (!number(in, "release", 0, 65535, build) && !gone) return "an entry without a release";
-  number(in, "group", 0, 65535, group);
-  if (in.find("since_ms") != nullptr && !number(in, "since_ms", 0, 1e13, since))
-    return "a start out of range";
-  if (text(in, "zone", zone)) {
-    const auto at = std::find(zones.begin(), zones.end(), zone);
-    out.info.zone = static_cast<int>(at - zones.begin());
-  }
-  out.info.build = static_cast<int>(build);
-  out.info.cell = static_cast<int>(group);
-  // 0 stands for long ago, as does a start before the instance's clock began.
-  if (since > 0)
-    out.info.startedAt = std::max<Nanoseconds>(static_cast<Nanoseconds>(since) * kMillisecond - unixAtZero,
-                                               0);
-  return nullptr;
+// An endpoint that is gone needs neither address nor build.
+std::optional<ListError> readAddress(const Value &in, Entry &out) {
+  const bool isGone = out.info.state == EndpointState::gone;
+  const auto address = readText(in, "address");
+  if (!address && !isGone) return ListError::entryWithoutAddress;
+  out.address = address.value_or("");
+  if (!isGone && !net::parseAddress(out.address)) return ListError::unreadableAddress;
+  return std::nullopt;
+}
+
+std::optional<ListError> readBuild(const Value &in, Entry &out) {
+  const auto build = readNumber(in, "release", 0, kMaxBuild);
+  if (!build && out.info.state != EndpointState::gone) return ListError::entryWithoutBuild;
+  out.info.build = static_cast<int>(build.value_or(0));
+  return std::nullopt;
+}
+
+// 0 means long ago, as does a start before the instance's clock began.
+std::optional<ListError> readStartTime(const Value &in, Nanoseconds unixAtZero, Entry &out) {
+  if (in.find("since_ms") == nullptr) return std::nullopt;
+  const auto startTime = readNumber(in, "since_ms", 0, kMaxStartTimeMilliseconds);
+  if (!startTime) return ListError::startTimeOutOfRange;
+  if (*startTime > 0)
+    out.info.startedAt = std::max<Nanoseconds>(
+        static_cast<Nanoseconds>(*startTime) * kMillisecond - unixAtZero, 0);
+  return std::nullopt;
+}
+
+std::optional<ListError> readEntry(const Value &in, const std::vector<std::string> &zones,
+                                   Nanoseconds unixAtZero, Entry &out) {
+  out.name = readText(in, "name").value_or("");
+  if (out.name.empty()) return ListError::entryWithoutName;
+  const auto state = readState(in);
+  if (!state) return ListError::unknownStatus;
+  out.info.state = *state;
+  if (const auto error = readAddress(in, out)) return error;
+  if (const auto error = readBuild(in, out)) return error;
+  if (const auto error = readStartTime(in, unixAtZero, out)) return error;
+  out.info.cell = static_cast<int>(readNumber(in, "group", 0, kMaxCell).value_or(0));
+  if (const auto zone = readText(in, "zone"))
+    out.info.zone = static_cast<int>(std::find(zones.begin(), zones.end(), *zone) - zones.begin());
+  return std::nullopt;
 }
 
 } // namespace
 
-std::optional<List> readList(const Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero,
-                             std::string &error) {
-  List out;
-  double index = 0;
-  const auto *whole = in.find("snapshot"), *entries = in.find("endpoints");
-  if (!number(in, "index", 0, 9e15, index)) return error = "no index", std::nullopt;
-  if (whole == nullptr || whole->kind != Value::boolean) return error = "no snapshot mark", std::nullopt;
-  if (entries == nullptr || entries->kind != Value::array) return error = "no endpoints", std::nullopt;
-  out.index = static_cast<std::uint64_t>(index);
-  out.whole = whole->truth;
-  for (const auto &item : entries->items) {
-    Entry e;
-    if (const auto *fault = readEntry(item, zones, unixAtZero, e)) return error = fault, std::nullopt;
-    out.entries.push_back(std::move(e));
+const char *describe(ListError error) {
+  switch (error) {
+  case ListError::noIndex:
+    return "no index";
+  case ListError::noSnapshotFlag:
+    return "no snapshot flag";
+  case ListError::noEndpoints:
+    return "no endpoints";
+  case ListError::entryWithoutName:
+    return "an entry without a name";
+  case ListError::unknownStatus:
+    return "an unknown status";
+  case ListError::entryWithoutAddress:
+    return "an entry without an address";
+  case ListError::unreadableAddress:
+    return "an address that can't be read";
+  case ListError::entryWithoutBuild:
+    return "an entry without a release";
+  case ListError::startTimeOutOfRange:
+    return "a start time out of range";
+  }
+  return "";
+}
+
+std::variant<EndpointList, ListError> readList(const Value &in, const std::vector<std::string> &zones,
+                                               Nanoseconds unixAtZero) {
+  EndpointList out;
+  const auto index = readNumber(in, "index", 0, kMaxIndex);
+  if (!index) return ListError::noIndex;
+  out.index = static_cast<std::uint64_t>(*index);
+  const auto *snapshot = in.find("snapshot");
+  if (snapshot == nullptr || snapshot->kind != Value::boolean) return ListError::noSnapshotFlag;
+  out.isSnapshot = snapshot->truth;
+  const auto *endpoints = in.find("endpoints");
+  if (endpoints == nullptr || endpoints->kind != Value::array) return ListError::noEndpoints;
+  for (const auto &item : endpoints->items) {
+    Entry entry;
+    if (const auto error = readEntry(item, zones, unixAtZero, entry)) return *error;
+    out.endpoints.push_back(std::move(entry));
   }
   return out;
 }
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -8,98 +8,115 @@
 using discovery_subscription::kOver;
 using discovery_subscription::Others;
 
-bool EndpointWatch::start(const json::Value &known) {
-  std::string error;
-  const auto list = readList(known, zones_, unixAtZero_, error);
-  if (!list) return false;
-  index_ = list->index;
-  router_.onEndpointUpdates(list->entries, true);
+namespace {
+
+// What the end of a call tells of discovery. `poll`: the outcome of the request; `cause`: why the call ended.
+Ended classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasMessage) {
+  if (poll.progress == net::SendProgress::notConnected)
+    return poll.cause == net::ErrorCode::refused ? Ended::down : Ended::unreachable;
+  const bool isClosed = cause == net::ErrorCode::closedByPeer || cause == net::ErrorCode::connectionLost;
+  return hasMessage && isClosed ? Ended::cut : Ended::refused;
+}
+
+} // namespace
+
+bool EndpointWatch::loadKnownList(const json::Value &known) {
+  const auto reading = readList(known, zones_, unixAtZero_);
+  const auto *list = std::get_if<EndpointList>(&reading);
+  if (list == nullptr) return false;
+  listIndex_ = list->index;
+  router_.onEndpointUpdates(list->endpoints, true);
   return true;
 }
 
 net::Task<> EndpointWatch::run() {
   for (;;) {
     co_await router_.nextListRequest();
-    if (!open_.empty()) log_.info("asks discovery anew while an earlier watch stands", {{"index", index_}});
-    open();
+    if (!calls_.empty())
+      log_.info("polls discovery again while an earlier watch is open", {{"index", listIndex_}});
+    startCall();
   }
 }
 
 void EndpointWatch::moveTo(net::Address at) {
   if (at == at_) return;
   at_ = at;
-  ++place_;
+  ++addressVersion_;
   router_.onDiscoveryMoved();
 }
 
-// Guards against a gap in the list: an older watch, which may give no answer or be about to end, is followed
-// until a newer one has told something.
-void EndpointWatch::open() {
-  open_[++turn_] = std::make_shared<Open>(at_, place_);
-  sched_.spawn(follow(turn_, open_[turn_]));
+// Guards against a gap in the updates: a new call may get no answer, and an older one may be about to end, so
+// older ones are followed until a newer one has received a message.
+void EndpointWatch::startCall() {
+  const auto call = std::make_shared<Call>(at_, addressVersion_);
+  calls_[++lastCall_] = call;
+  sched_.spawn(runCall(lastCall_, call));
 }
 
-void EndpointWatch::replaces(std::uint64_t turn) {
-  while (!open_.empty() && open_.begin()->first < turn) {
-    open_.begin()->second->replaced.cancel();
-    open_.erase(open_.begin());
+void EndpointWatch::cancelOlderCalls(CallNumber number) {
+  while (!calls_.empty() && calls_.begin()->first < number) {
+    calls_.begin()->second->superseded.cancel();
+    calls_.erase(calls_.begin());
   }
 }
 
-discovery_subscription::Others EndpointWatch::others() const {
-  auto out = discovery_subscription::Others::none;
-  for (const auto &[turn, open] : open_)
-    if (open->place == place_) out = std::max(out, open->told ? Others::stands : Others::asked);
+// What is still open at discovery's current address.
+Others EndpointWatch::otherCalls() const {
+  auto out = Others::none;
+  for (const auto &[number, call] : calls_)
+    if (isAtCurrentAddress(*call)) out = std::max(out, call->hasMessage ? Others::stands : Others::asked);
   return out;
 }
 
-net::Task<> EndpointWatch::follow(std::uint64_t turn, std::shared_ptr<Open> self) {
-  auto *stop = &self->replaced;
-  http_client::Exchange call(sched_, budget_);
-  const auto target = "/catalog/members?stream=1&index=" + std::to_string(index_);
+net::Task<> EndpointWatch::runCall(CallNumber number, std::shared_ptr<Call> call) {
+  auto *superseded = &call->superseded;
+  http_client::Exchange exchange(sched_, budget_);
+  const auto target = "/catalog/members?stream=1&index=" + std::to_string(listIndex_);
   auto request = http::writeRequest("GET", target, "discovery");
-  const net::Deadline first{sched_.now() + kOver, stop};
-  const auto asked = co_await call.sendRequest(self->at, std::move(request), first);
-  auto cause = asked.cause;
-  std::string line;
-  if (cause == net::ErrorCode::none && call.head().status != 200) cause = net::ErrorCode::refused;
+  const net::Deadline pollDeadline{sched_.now() + kOver, superseded};
+  const auto poll = co_await exchange.sendRequest(call->at, std::move(request), pollDeadline);
+  auto cause = poll.cause;
+  if (cause == net::ErrorCode::none && exchange.head().status != 200) cause = net::ErrorCode::refused;
   while (cause == net::ErrorCode::none) {
-    while (cause == net::ErrorCode::none && !stop->isCancelled() && http::takeLine(call.body, line)) {
-      if (!line.empty() && !this->line(line)) {
-        cause = net::ErrorCode::unreadable;
-      } else {
-        self->told = true;
-        router_.onListMessage(self->place == place_);
-        replaces(turn);
-      }
-    }
+    cause = handleMessages(number, *call, exchange.body);
     if (cause != net::ErrorCode::none) break;
-    const net::Deadline next{sched_.now() + kOver, stop};
-    cause = co_await call.readMore(next);
+    const net::Deadline messageDeadline{sched_.now() + kOver, superseded};
+    cause = co_await exchange.readMore(messageDeadline);
   }
-  open_.erase(turn);
-  if (stop->isCancelled()) co_return; // replaced: a newer one tells
-  log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", call.head().status}});
-  const bool itsEnd = cause == net::ErrorCode::closedByPeer || cause == net::ErrorCode::connectionLost;
-  auto how = Ended::refused;
-  if (asked.progress == net::SendProgress::notConnected)
-    how = asked.cause == net::ErrorCode::refused ? Ended::down : Ended::unreachable;
-  else if (self->told && itsEnd)
-    how = Ended::cut;
-  router_.onListClosed(how, others(), open_.empty());
+  calls_.erase(number);
+  if (superseded->isCancelled()) co_return;
+  log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", exchange.head().status}});
+  router_.onListClosed(classifyEnd(poll, cause, call->hasMessage), otherCalls(), calls_.empty());
 }
 
-bool EndpointWatch::line(const std::string &text) {
-  std::string error;
-  const auto value = json::parse(text, &error);
-  const auto list = value ? readList(*value, zones_, unixAtZero_, error) : std::nullopt;
-  if (!list) {
-    log_.warning("discovery sent a line that is no list", {{"why", error}});
-    return false;
+// Takes the whole lines off `received`. An empty line is a keep-alive.
+net::ErrorCode EndpointWatch::handleMessages(CallNumber number, Call &call, std::string &received) {
+  std::string message;
+  while (!call.superseded.isCancelled() && http::takeLine(received, message)) {
+    if (!message.empty()) {
+      const auto error = applyListUpdate(message);
+      if (error != net::ErrorCode::none) return error;
+    }
+    call.hasMessage = true;
+    router_.onListMessage(isAtCurrentAddress(call));
+    cancelOlderCalls(number);
   }
-  index_ = list->index;
-  router_.onEndpointUpdates(list->entries, list->whole);
-  return true;
+  return net::ErrorCode::none;
+}
+
+net::ErrorCode EndpointWatch::applyListUpdate(const std::string &message) {
+  std::string why;
+  if (const auto value = json::parse(message, &why)) {
+    const auto reading = readList(*value, zones_, unixAtZero_);
+    if (const auto *list = std::get_if<EndpointList>(&reading)) {
+      listIndex_ = list->index;
+      router_.onEndpointUpdates(list->endpoints, list->isSnapshot);
+      return net::ErrorCode::none;
+    }
+    why = describe(std::get<ListError>(reading));
+  }
+  log_.warning("discovery sent a line that is not an endpoint list", {{"why", why}});
+  return net::ErrorCode::unreadable;
 }
 
 } // namespace myrtlehead::discovery
--- a/src/control/discovery/endpoint_watch.h
+++ b/src/control/discovery/endpoint_watch.h
@@ -1,4 +1,5 @@
-// Follows discovery: one watch at a time, opened when the instance wants one.
+// Keeps the endpoint list up to date: polls discovery when the router asks for it, and follows the watch that
+// each successful poll becomes. Not thread-safe; all of it runs on the scheduler's thread.
 #pragma once
 
 #include "base/http_client/exchange.h"
@@ -10,29 +11,39 @@
 
 class EndpointWatch {
 public:
+  // `at`: discovery's address. `zones`, `unixAtZero`: as for readList().
   EndpointWatch(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, log::Log &log,
                 net::Address at, std::vector<std::string> zones, Nanoseconds unixAtZero)
       : sched_(sched), budget_(budget), router_(router), log_(log), at_(at), zones_(std::move(zones)),
         unixAtZero_(unixAtZero) {}
 
-  bool start(const json::Value &known); // the list as this instance last had it; false: it is no list
+  // Applies the list that this instance had before it was restarted. Returns false, and changes nothing, if
+  // `known` is not a list.
+  bool loadKnownList(const json::Value &known);
   net::Task<> run();
-  void moveTo(net::Address at); // asks there at once
+  // Polls discovery at its new address. The watch at the old one is followed until the new one has sent
+  // something.
+  void moveTo(net::Address at);
 
 private:
-  // A call for the list and the watch that comes of it.
-  struct Open {
-    Open(net::Address to, std::uint64_t itsPlace) : at(to), place(itsPlace) {}
-    sched::CancellationToken replaced; // a newer one has told something
+  // A poll and the watch that it becomes.
+  struct Call {
+    Call(net::Address to, std::uint64_t itsAddressVersion) : at(to), addressVersion(itsAddressVersion) {}
+    sched::CancellationToken superseded; // a newer call has received a message
     net::Address at;
-    std::uint64_t place;
-    bool told = false;
+    std::uint64_t addressVersion;
+    bool hasMessage = false; // whether a message has arrived
   };
-  void open();
-  net::Task<> follow(std::uint64_t turn, std::shared_ptr<Open> self);
-  discovery_subscription::Others others() const;
-  void replaces(std::uint64_t turn);
-  bool line(const std::string &text);
+  using CallNumber = std::uint64_t;
+
+  void startCall();
+  net::Task<> runCall(CallNumber number, std::shared_ptr<Call> call);
+  net::ErrorCode handleMessages(CallNumber number, Call &call, std::string &received);
+  net::ErrorCode applyListUpdate(const std::string &message);
+  void cancelOlderCalls(CallNumber number);
+  bool isAtCurrentAddress(const Call &call) const { return call.addressVersion == addressVersion_; }
+  discovery_subscription::Others otherCalls() const;
+
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
   Router &router_;
@@ -40,9 +51,10 @@
   net::Address at_;
   std::vector<std::string> zones_;
   Nanoseconds unixAtZero_;
-  std::uint64_t index_ = 0, turn_ = 0;
-  std::uint64_t place_ = 0;                             // counts moves
-  std::map<std::uint64_t, std::shared_ptr<Open>> open_; // by their turns
+  std::uint64_t listIndex_ = 0; // of the latest list that was applied
+  CallNumber lastCall_ = 0;
+  std::uint64_t addressVersion_ = 0; // grows with each move
+  std::map<CallNumber, std::shared_ptr<Call>> calls_;
 };
 
 } // namespace myrtlehead::discovery
