--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -224,9 +224,9 @@
                             station.memory / 8); // what a large request takes in all is below four times it
   sched.spawn(router.run());
   sched.spawn(watch.run());
-  sched.spawn(desk.keepOpen());
+  sched.spawn(desk.keepConnectionOpen());
   sched.spawn(desk.sendVotes());
-  sched.spawn(desk.readBulletin());
+  sched.spawn(desk.followEventStream());
   sched.spawn(pool.sweep());
   if (datagrams) {
     sched.spawn(datagrams->send());
--- a/src/control/rollout/codec.cpp
+++ b/src/control/rollout/codec.cpp
@@ -1,5 +1,7 @@
 #include "control/rollout/codec.h"
 
+#include <algorithm>
+#include <array>
 #include <charconv>
 #include <cmath>
 
@@ -7,34 +9,53 @@
 
 namespace {
 
-constexpr std::string_view kPhases[] = {"Progressing", "Aborting", "Healthy", "Aborted"};
-constexpr std::string_view kVerdicts[] = {"none", "on", "hold", "back"};
+// In the order of RolloutPhase and of Verdict.
+constexpr std::array<std::string_view, 4> kPhaseNames{"Progressing", "Aborting", "Healthy", "Aborted"};
+constexpr std::array<std::string_view, 4> kVerdictNames{"none", "on", "hold", "back"};
 
-bool number(std::string_view text, double least, double most, double &out) {
-  const auto r = std::from_chars(text.data(), text.data() + text.size(), out);
-  return !text.empty() && r.ec == std::errc{} && r.ptr == text.data() + text.size() && std::isfinite(out) &&
-         out >= least && out <= most;
+constexpr double kMaxBuild = 65535;
+constexpr double kMaxStage = 255;
+constexpr double kMaxAgeMilliseconds = 1e12;
+
+std::optional<double> readNumber(const http::Fields &fields, std::string_view name, double least,
+                                 double most) {
+  const auto text = http::value(fields, name);
+  const auto *end = text.data() + text.size();
+  double out = 0;
+  const auto result = std::from_chars(text.data(), end, out);
+  if (text.empty() || result.ec != std::errc{} || result.ptr != end) return std::nullopt;
+  if (!std::isfinite(out) || out < least || out > most) return std::nullopt;
+  return out;
+}
+
+std::optional<Nanoseconds> readAge(const http::Fields &fields) {
+  const auto milliseconds = readNumber(fields, "age_ms", 0, kMaxAgeMilliseconds);
+  if (!milliseconds) return std::nullopt;
+  return static_cast<Nanoseconds>(*milliseconds * static_cast<double>(kMillisecond));
+}
+
+std::optional<RolloutPhase> readPhase(const http::Fields &fields) {
+  const auto at = std::find(kPhaseNames.begin(), kPhaseNames.end(), http::value(fields, "phase"));
+  if (at == kPhaseNames.end()) return std::nullopt;
+  return static_cast<RolloutPhase>(at - kPhaseNames.begin());
 }
 
 } // namespace
 
 std::optional<RolloutState> readRolloutState(const http::Fields &fields) {
-  RolloutState news;
-  double build = 0, stage = 0, age = 0;
-  if (!number(http::value(fields, "build"), 0, 65535, build) ||
-      !number(http::value(fields, "stage"), 0, 255, stage) ||
-      !number(http::value(fields, "cap"), 0, 1, news.cap) ||
-      !number(http::value(fields, "age_ms"), 0, 1e12, age))
-    return std::nullopt;
-  const auto phase = http::value(fields, "phase");
-  int i = 0;
-  while (i < 4 && kPhases[i] != phase) ++i;
-  if (i == 4) return std::nullopt;
-  news.build = static_cast<int>(build);
-  news.stage = static_cast<int>(stage);
-  news.phase = static_cast<RolloutPhase>(i);
-  news.age = static_cast<Nanoseconds>(age * static_cast<double>(kMillisecond));
-  return news;
+  const auto build = readNumber(fields, "build", 0, kMaxBuild);
+  const auto stage = readNumber(fields, "stage", 0, kMaxStage);
+  const auto cap = readNumber(fields, "cap", 0, 1);
+  const auto age = readAge(fields);
+  const auto phase = readPhase(fields);
+  if (!build || !stage || !cap || !age || !phase) return std::nullopt;
+  RolloutState state;
+  state.build = static_cast<int>(*build);
+  state.stage = static_cast<int>(*stage);
+  state.phase = *phase;
+  state.cap = *cap;
+  state.age = *age;
+  return state;
 }
 
 std::optional<RolloutState> readRolloutState(const json::Value &object) {
@@ -43,37 +64,38 @@
   return readRolloutState(fields);
 }
 
-std::optional<Flag> readFlag(const http::Fields &fields) {
-  Flag flag;
-  double age = 0;
-  flag.server = http::value(fields, "server");
-  flag.route = http::value(fields, "class");
-  if (flag.server.empty() || !number(http::value(fields, "age_ms"), 0, 1e12, age)) return std::nullopt;
-  flag.age = static_cast<Nanoseconds>(age * static_cast<double>(kMillisecond));
-  return flag;
+std::optional<WrongAnswerReport> readWrongAnswerReport(const http::Fields &fields) {
+  WrongAnswerReport report;
+  report.endpoint = http::value(fields, "server");
+  report.route = http::value(fields, "class");
+  const auto age = readAge(fields);
+  if (report.endpoint.empty() || !age) return std::nullopt;
+  report.age = *age;
+  return report;
 }
 
-// An answer that can't be read leaves open whether the vote counts.
-std::optional<Answer> readAnswer(int status, std::string_view body) {
+std::optional<VoteAnswer> readVoteAnswer(int httpStatus, std::string_view body) {
   http::Fields leaves;
   if (!http::parseXml(body, leaves)) return std::nullopt;
-  if (status == 200) {
-    const auto news = readRolloutState(leaves);
-    return news ? std::optional(Answer{VoteReply::accepted, news}) : std::nullopt;
+  if (httpStatus == 200) {
+    const auto state = readRolloutState(leaves);
+    if (!state) return std::nullopt;
+    return VoteAnswer{VoteReply::accepted, state};
   }
   const auto code = http::value(leaves, "Code");
-  if (status == 400 && code == "BUSY") return Answer{VoteReply::rateLimited, {}};
-  if (status == 400 && code == "STALE") return Answer{VoteReply::outdated, {}};
-  if ((status == 500 && code == "FAILED") || (status == 400 && code == "SYNTAX"))
-    return Answer{VoteReply::error, {}};
+  if (httpStatus == 400 && code == "BUSY") return VoteAnswer{VoteReply::rateLimited, {}};
+  if (httpStatus == 400 && code == "STALE") return VoteAnswer{VoteReply::outdated, {}};
+  if (httpStatus == 400 && code == "SYNTAX") return VoteAnswer{VoteReply::error, {}};
+  if (httpStatus == 500 && code == "FAILED") return VoteAnswer{VoteReply::error, {}};
   return std::nullopt;
 }
 
-std::string voteForm(const Vote &vote) {
+std::string writeVoteForm(const Vote &vote) {
+  const auto verdict = kVerdictNames[static_cast<std::size_t>(vote.verdict)];
   return http::writeForm({{"Action", "RecordOpinion"},
                           {"build", std::to_string(vote.build)},
                           {"stage", std::to_string(vote.stage)},
-                          {"verdict", std::string(kVerdicts[static_cast<int>(vote.verdict)])}});
+                          {"verdict", std::string(verdict)}});
 }
 
 } // namespace myrtlehead::rollout
--- a/src/control/rollout/codec.h
+++ b/src/control/rollout/codec.h
@@ -1,4 +1,5 @@
-// The platform's forms: its news of the newest build, its answers to votes, its verdicts.
+// Codec of the platform's messages: the rollout state of the newest build, reports of wrong answers, and the
+// votes with the answers to them.
 #pragma once
 
 #include "format/http/http.h"
@@ -9,22 +10,27 @@
 
 namespace myrtlehead::rollout {
 
+// nullopt: a field is absent, or its value can't be read or is out of range.
 std::optional<RolloutState> readRolloutState(const http::Fields &fields);
 std::optional<RolloutState> readRolloutState(const json::Value &object);
 
-struct Flag {
-  std::string server, route;
-  Nanoseconds age = 0;
+// An endpoint answered a request wrongly.
+struct WrongAnswerReport {
+  std::string endpoint;
+  std::string route;
+  Nanoseconds age = 0; // since the attempt was sent
 };
-std::optional<Flag> readFlag(const http::Fields &fields);
+std::optional<WrongAnswerReport> readWrongAnswerReport(const http::Fields &fields);
 
-// What a call came to: its answer, and the news in it where there is any.
-struct Answer {
+// The answer to a vote, with the rollout state where the answer tells it.
+struct VoteAnswer {
   VoteReply reply = VoteReply::timedOut;
-  std::optional<RolloutState> news;
+  std::optional<RolloutState> state;
 };
-std::optional<Answer> readAnswer(int status, std::string_view body); // nullopt: it can't be read
+// nullopt: an answer that can't be read, which leaves open whether the vote counts.
+std::optional<VoteAnswer> readVoteAnswer(int httpStatus, std::string_view body);
 
-std::string voteForm(const Vote &vote);
+// The body of the HTTP request that casts the vote.
+std::string writeVoteForm(const Vote &vote);
 
 } // namespace myrtlehead::rollout
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -7,110 +7,131 @@
 namespace myrtlehead::rollout {
 
 namespace {
-// A sign of life comes each second unless the platform is silent; then a new connection tells which it is.
-constexpr Nanoseconds kSilence = 4 * kSecond, kAgain = kSecond / 4;
+// The platform sends a keep-alive each second. Where none comes, only a new connection shows whether the
+// platform is silent or the old connection is dead.
+constexpr Nanoseconds kMaxStreamSilence = 4 * kSecond;
+constexpr Nanoseconds kReopenBackoff = kSecond / 4;
+
+// Whether a call that came so far may have been executed.
+bool mayHaveExecuted(net::SendProgress progress) {
+  return progress != net::SendProgress::notConnected && progress != net::SendProgress::partlyWritten;
+}
 } // namespace
 
 net::Task<> RolloutClient::sendVotes() {
   for (;;) {
     const auto vote = co_await router_.nextVote();
-    const auto answer = co_await call(voteForm(vote));
+    const auto answer = co_await castVote(writeVoteForm(vote));
     log_.debug("vote", {{"verdict", word(vote.verdict)},
                         {"build", vote.build},
                         {"stage", vote.stage},
                         {"reply", word(answer.reply)}});
-    if (answer.news) router_.onRolloutState(*answer.news);
+    if (answer.state) router_.onRolloutState(*answer.state);
     router_.onVoteReply(answer.reply);
   }
 }
 
-net::Task<Answer> RolloutClient::call(std::string form) {
-  const net::Deadline until{sched_.now() + callWithin_, nullptr};
+net::Task<VoteAnswer> RolloutClient::castVote(std::string form) {
+  const net::Deadline until{sched_.now() + callTimeout_, nullptr};
   auto request = http::writeRequest("POST", "/", "platform", form);
-  auto answered = co_await line_.call(std::move(request), until);
-  if (answered) {
-    const auto answer = readAnswer(answered->status, answered->body);
-    if (!answer) line_.discard(); // whatever follows on it may belong to no call
-    co_return answer.value_or(Answer{});
+  auto response = co_await connection_.call(std::move(request), until);
+  if (response) {
+    const auto answer = readVoteAnswer(response->status, response->body);
+    if (!answer) connection_.discard(); // whatever follows on it may belong to no call
+    co_return answer.value_or(VoteAnswer{});
   }
-  const auto &failure = answered.failure();
-  log_.debug("call on the platform failed",
-             {{"cause", net::word(failure.cause)}, {"reach", static_cast<int>(failure.progress)}});
-  const bool never = failure.progress == net::SendProgress::notConnected ||
-                     failure.progress == net::SendProgress::partlyWritten;
-  co_return Answer{never ? VoteReply::error : VoteReply::timedOut, {}};
+  const auto &failure = response.failure();
+  log_.debug("call to the platform failed",
+             {{"cause", net::word(failure.cause)}, {"progress", static_cast<int>(failure.progress)}});
+  const auto reply = mayHaveExecuted(failure.progress) ? VoteReply::timedOut : VoteReply::error;
+  co_return VoteAnswer{reply, {}};
 }
 
-// The first bulletin, and one more whenever the latest has ended or the platform has moved.
-net::Task<> RolloutClient::readBulletin() {
+// Opens a stream, and another one whenever the latest has ended or the platform has moved.
+net::Task<> RolloutClient::followEventStream() {
   for (;;) {
-    open_[++turn_] = std::make_shared<sched::CancellationToken>();
-    sched_.spawn(follow(turn_, open_[turn_]));
-    co_await sched_.wait(wanted_);
+    const auto superseded = std::make_shared<sched::CancellationToken>();
+    streams_[++lastStream_] = superseded;
+    sched_.spawn(readStream(lastStream_, superseded));
+    co_await sched_.wait(streamWanted_);
   }
 }
 
 void RolloutClient::moveTo(net::Address at) {
   if (at == at_) return;
   at_ = at;
-  line_.moveTo(at);
-  wanted_.notify();
+  connection_.moveTo(at);
+  streamWanted_.notify();
 }
 
-void RolloutClient::replaces(std::uint64_t turn) {
-  while (!open_.empty() && open_.begin()->first < turn) {
-    open_.begin()->second->cancel();
-    open_.erase(open_.begin());
+void RolloutClient::cancelOlderStreams(StreamNumber number) {
+  while (!streams_.empty() && streams_.begin()->first < number) {
+    streams_.begin()->second->cancel();
+    streams_.erase(streams_.begin());
   }
 }
 
-// Guards against a gap in the news: an older bulletin is read until a newer one has told the state, which it
-// does at once. Nothing of one is believed from the first byte on that can't be read.
-net::Task<> RolloutClient::follow(std::uint64_t turn, std::shared_ptr<sched::CancellationToken> stop) {
+// Guards against a gap in the events: an older stream is read until a newer one has sent the rollout state,
+// which it does at once. After the first event that can't be read, nothing more of a stream is believed.
+net::Task<> RolloutClient::readStream(StreamNumber number,
+                                      std::shared_ptr<sched::CancellationToken> superseded) {
   http_client::Exchange exchange(sched_, budget_);
   auto request = http::writeRequest("GET", "/bulletin", "platform");
-  const net::Deadline first{sched_.now() + kSilence, stop.get()};
-  const auto asked = co_await exchange.sendRequest(at_, std::move(request), first);
-  auto cause = asked.cause;
+  const net::Deadline openDeadline{sched_.now() + kMaxStreamSilence, superseded.get()};
+  const auto opened = co_await exchange.sendRequest(at_, std::move(request), openDeadline);
+  auto cause = opened.cause;
   if (cause == net::ErrorCode::none && exchange.head().status != 200) cause = net::ErrorCode::refused;
   while (cause == net::ErrorCode::none) {
-    http::Event event;
-    auto taken = http::Taken::none;
-    while (!stop->isCancelled() && (taken = http::takeEvent(exchange.body, event)) == http::Taken::event) {
-      if (!this->event(event)) taken = http::Taken::unreadable;
-      if (taken != http::Taken::event) break;
-      replaces(turn);
-    }
-    if (taken == http::Taken::unreadable) {
-      cause = net::ErrorCode::unreadable;
-      break;
-    }
-    const net::Deadline next{sched_.now() + kSilence, stop.get()};
-    cause = co_await exchange.readMore(next);
+    cause = handleEvents(number, *superseded, exchange.body);
+    if (cause != net::ErrorCode::none) break;
+    const net::Deadline eventDeadline{sched_.now() + kMaxStreamSilence, superseded.get()};
+    cause = co_await exchange.readMore(eventDeadline);
   }
-  open_.erase(turn);
-  if (turn != turn_) co_return; // replaced meanwhile
-  log_.info("bulletin of the platform ended", {{"cause", net::word(cause)}});
-  co_await sched_.sleep(kAgain);
-  if (turn == turn_) wanted_.notify();
+  streams_.erase(number);
+  const bool isLatest = number == lastStream_;
+  if (!isLatest) co_return;
+  log_.info("rollout event stream ended", {{"cause", net::word(cause)}});
+  co_await sched_.sleep(kReopenBackoff);
+  if (number == lastStream_) streamWanted_.notify();
 }
 
-bool RolloutClient::event(const http::Event &event) {
-  http::Fields fields;
-  const bool form = http::parseForm(event.data, fields);
-  if (event.name == "stage" && form) {
-    const auto news = readRolloutState(fields);
-    if (news) router_.onRolloutState(*news);
-    return news.has_value();
+// Takes the whole events off `received`.
+net::ErrorCode RolloutClient::handleEvents(StreamNumber number, const sched::CancellationToken &superseded,
+                                           std::string &received) {
+  http::Event event;
+  while (!superseded.isCancelled()) {
+    const auto taken = http::takeEvent(received, event);
+    if (taken == http::Taken::none) return net::ErrorCode::none;
+    if (taken == http::Taken::unreadable) return net::ErrorCode::unreadable;
+    if (handleEvent(event) == EventResult::unreadable) return net::ErrorCode::unreadable;
+    cancelOlderStreams(number);
   }
-  if (event.name == "flag" && form) {
-    const auto flag = readFlag(fields);
-    const auto at = flag ? std::find(routes_.begin(), routes_.end(), flag->route) : routes_.end();
-    if (at != routes_.end())
-      router_.onWrongAnswerReport(flag->server, static_cast<int>(at - routes_.begin()), flag->age);
-    return at != routes_.end();
-  }
-  return event.name == "tally" && form; // other deployments' counts, which this protocol does not carry
+  return net::ErrorCode::none;
+}
+
+RolloutClient::EventResult RolloutClient::handleEvent(const http::Event &event) {
+  http::Fields fields;
+  if (!http::parseForm(event.data, fields)) return EventResult::unreadable;
+  if (event.name == "stage") return handleRolloutState(fields);
+  if (event.name == "flag") return handleWrongAnswer(fields);
+  // The counts of other deployments are of no use to this one.
+  return event.name == "tally" ? EventResult::handled : EventResult::unreadable;
+}
+
+RolloutClient::EventResult RolloutClient::handleRolloutState(const http::Fields &fields) {
+  const auto state = readRolloutState(fields);
+  if (!state) return EventResult::unreadable;
+  router_.onRolloutState(*state);
+  return EventResult::handled;
+}
+
+RolloutClient::EventResult RolloutClient::handleWrongAnswer(const http::Fields &fields) {
+  const auto report = readWrongAnswerReport(fields);
+  if (!report) return EventResult::unreadable;
+  const auto route = std::find(routes_.begin(), routes_.end(), report->route);
+  if (route == routes_.end()) return EventResult::unreadable;
+  router_.onWrongAnswerReport(report->endpoint, static_cast<int>(route - routes_.begin()), report->age);
+  return EventResult::handled;
 }
 
 } // namespace myrtlehead::rollout
--- a/src/control/rollout/rollout_client.h
+++ b/src/control/rollout/rollout_client.h
@@ -1,4 +1,5 @@
-// Calls on the platform: votes, on a standing connection, and the bulletin.
+// The connections to the platform, which runs the rollout of builds: votes are cast on a persistent
+// connection, and the rollout event stream tells the state of the newest build and wrong answers.
 #pragma once
 
 #include "base/http_client/exchange.h"
@@ -12,32 +13,45 @@
 
 class RolloutClient {
 public:
+  // `routes`: the names of the routes, by their numbers. `callTimeout`: for a vote to be answered.
   RolloutClient(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, log::Log &log,
-                net::Address at, std::vector<std::string> routes, Nanoseconds callWithin)
+                net::Address at, std::vector<std::string> routes, Nanoseconds callTimeout)
       : sched_(sched), budget_(budget), router_(router), log_(log), at_(at), routes_(std::move(routes)),
-        line_(sched, budget, at), callWithin_(callWithin) {}
+        connection_(sched, budget, at), callTimeout_(callTimeout) {}
 
+  // These run for as long as the instance.
   net::Task<> sendVotes();
-  net::Task<> readBulletin();
-  net::Task<> keepOpen() { return line_.keepOpen(); }
-  net::Task<Answer> call(std::string form);
-  void moveTo(net::Address at); // news and votes come and go there at once
+  net::Task<> followEventStream();
+  net::Task<> keepConnectionOpen() { return connection_.keepOpen(); }
+
+  // Casts one vote. VoteReply::timedOut: it may have counted; VoteReply::error: it did not.
+  net::Task<VoteAnswer> castVote(std::string form);
+  // Votes and the event stream go to the new address at once.
+  void moveTo(net::Address at);
 
 private:
-  net::Task<> follow(std::uint64_t turn, std::shared_ptr<sched::CancellationToken> stop);
-  void replaces(std::uint64_t turn);
-  bool event(const http::Event &event); // false: it can't be read
+  using StreamNumber = std::uint64_t;
+  enum class EventResult { handled, unreadable };
+
+  net::Task<> readStream(StreamNumber number, std::shared_ptr<sched::CancellationToken> superseded);
+  net::ErrorCode handleEvents(StreamNumber number, const sched::CancellationToken &superseded,
+                              std::string &received);
+  EventResult handleEvent(const http::Event &event);
+  EventResult handleRolloutState(const http::Fields &fields);
+  EventResult handleWrongAnswer(const http::Fields &fields);
+  void cancelOlderStreams(StreamNumber number);
+
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
   Router &router_;
   log::Log &log_;
   net::Address at_;
   std::vector<std::string> routes_;
-  http_client::PersistentConnection line_;
-  Nanoseconds callWithin_;
-  std::uint64_t turn_ = 0;
-  std::map<std::uint64_t, std::shared_ptr<sched::CancellationToken>> open_; // bulletins, by their turns
-  sched::Event wanted_;                                                     // a bulletin
+  http_client::PersistentConnection connection_;
+  Nanoseconds callTimeout_;
+  StreamNumber lastStream_ = 0;
+  std::map<StreamNumber, std::shared_ptr<sched::CancellationToken>> streams_; // open ones
+  sched::Event streamWanted_;
 };
 
 } // namespace myrtlehead::rollout
