--- a/src/control/rollout/codec.cpp
+++ b/src/control/rollout/codec.cpp
@@ -53,7 +53,7 @@
   state.build = static_cast<int>(*build);
   state.stage = static_cast<int>(*stage);
   state.phase = *phase;
-  state.cap = *cap;
+  state.exposureCap = *cap;
   state.age = *age;
   return state;
 }
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -22,10 +22,10 @@
   for (;;) {
     const auto vote = co_await router_.nextVote();
     const auto answer = co_await castVote(writeVoteForm(vote));
-    log_.debug("vote", {{"verdict", word(vote.verdict)},
+    log_.debug("vote", {{"verdict", nameOf(vote.verdict)},
                         {"build", vote.build},
                         {"stage", vote.stage},
-                        {"reply", word(answer.reply)}});
+                        {"reply", nameOf(answer.reply)}});
     if (answer.state) router_.onRolloutState(*answer.state);
     router_.onVoteReply(answer.reply);
   }
@@ -128,9 +128,9 @@
 RolloutClient::EventResult RolloutClient::handleWrongAnswer(const http::Fields &fields) {
   const auto report = readWrongAnswerReport(fields);
   if (!report) return EventResult::unreadable;
-  const auto route = std::find(routes_.begin(), routes_.end(), report->route);
-  if (route == routes_.end()) return EventResult::unreadable;
-  router_.onWrongAnswerReport(report->endpoint, static_cast<int>(route - routes_.begin()), report->age);
+  const bool isKnownRoute = std::find(routes_.begin(), routes_.end(), report->route) != routes_.end();
+  if (!isKnownRoute) return EventResult::unreadable;
+  router_.onWrongAnswerReport(report->endpoint, report->age);
   return EventResult::handled;
 }
 
--- a/src/control/rollout/rollout_client.h
+++ b/src/control/rollout/rollout_client.h
@@ -13,7 +13,7 @@
 
 class RolloutClient {
 public:
-  // `routes`: the names of the routes, by their numbers. `callTimeout`: for a vote to be answered.
+  // `routes`: the names of the routes. `callTimeout`: for a vote to be answered.
   RolloutClient(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, log::Log &log,
                 net::Address at, std::vector<std::string> routes, Nanoseconds callTimeout)
       : sched_(sched), budget_(budget), router_(router), log_(log), at_(at), routes_(std::move(routes)),
