--- a/src/policy/outlier_gossip.cpp
+++ b/src/policy/outlier_gossip.cpp
@@ -3,129 +3,205 @@
 #include <algorithm>
 #include <cmath>
 
-namespace myrtlehead::outlier_gossip {
+namespace myrtlehead {
 
 namespace {
 
-constexpr Nanoseconds kTell = kSecond; // so often, at most
-constexpr int kListeners = 20;         // others that hear a note
-constexpr double kHalf = 3e9;          // ns after which what was told counts half
-constexpr double kEnough = 3;          // bad tries told, and
-constexpr double kShare = 0.6;         // their part of all that was told, from which an endpoint is left out
-constexpr Nanoseconds kSpell = 2 * kSecond,
-                      kMost = 8 * kSecond; // for so long first, doubling while it goes on
-constexpr std::size_t kMostHeld = 4096;    // endpoints; no others are taken up beyond that
+constexpr Nanoseconds kMessageInterval = kSecond;
+// Spreads the messages of instances that started together; a fraction of the interval.
+constexpr double kMinIntervalJitter = 0.8;
+constexpr double kMaxIntervalJitter = 1.2;
+constexpr std::size_t kPeersPerMessage = 20;
 
-constexpr std::size_t kHead = 3, kEach = 5;
+constexpr double kReportHalfLifeNanoseconds = 3e9;
+constexpr double kMinFailuresToSuspect = 3;
+constexpr double kMinFailureShareToSuspect = 0.6; // of all outcomes reported
 
-std::uint8_t more(std::uint8_t n) { return n < 255 ? static_cast<std::uint8_t>(n + 1) : n; }
+constexpr Nanoseconds kBaseSuspectTime = 2 * kSecond; // doubles each time
+constexpr Nanoseconds kMaxSuspectTime = 8 * kSecond;
+constexpr int kMaxSuspectTimeDoublings = 10; // keeps the shift defined; kMaxSuspectTime is met before
+// Instances that hear the same messages come back to the endpoint at different times.
+constexpr double kMinSuspectTimeJitter = 0.7;
+constexpr double kMaxSuspectTimeJitter = 1.3;
+
+constexpr std::size_t kMaxTrackedEndpoints = 4096;
+constexpr Nanoseconds kReportLifetime = 4 * kMaxSuspectTime; // without a further report
+
+constexpr std::size_t kHeaderSize = 3;
+constexpr std::size_t kObservationSize = 5;
+constexpr std::uint8_t kMaxCount = 255;
+
+std::uint8_t saturatingIncrement(std::uint8_t count) {
+  return count < kMaxCount ? static_cast<std::uint8_t>(count + 1) : count;
+}
+
+int failures(const EndpointObservations &observations) {
+  return observations.failed + observations.lostConnections;
+}
+
+std::uint8_t highByte(std::uint16_t value) { return static_cast<std::uint8_t>(value >> 8); }
+std::uint8_t lowByte(std::uint16_t value) { return static_cast<std::uint8_t>(value); }
+std::uint16_t readUint16(const std::uint8_t *bytes) {
+  return static_cast<std::uint16_t>(bytes[0] << 8 | bytes[1]);
+}
 
 } // namespace
 
-std::vector<std::uint8_t> pack(const Telling &telling) {
-  std::vector<std::uint8_t> out{kTellingVersion, static_cast<std::uint8_t>(telling.zone >> 8),
-                                static_cast<std::uint8_t>(telling.zone)};
-  for (const auto &s : telling.nodes)
-    out.insert(out.end(), {static_cast<std::uint8_t>(s.node >> 8), static_cast<std::uint8_t>(s.node),
-                           s.failed, s.lost, s.completed});
+std::vector<std::uint8_t> encodeGossip(const GossipMessage &message) {
+  std::vector<std::uint8_t> out{kGossipVersion, highByte(message.senderZone), lowByte(message.senderZone)};
+  for (const auto &o : message.observations)
+    out.insert(out.end(),
+               {highByte(o.fingerprint), lowByte(o.fingerprint), o.failed, o.lostConnections, o.succeeded});
+  return out;
+}
+
+std::optional<GossipMessage> decodeGossip(const std::uint8_t *bytes, std::size_t size) {
+  if (size <= kHeaderSize || bytes[0] != kGossipVersion) return std::nullopt;
+  const std::size_t content = size - kHeaderSize;
+  if (content % kObservationSize != 0) return std::nullopt;
+  if (content / kObservationSize > kMaxObservationsPerMessage) return std::nullopt;
+  GossipMessage out{readUint16(bytes + 1), {}};
+  for (std::size_t at = kHeaderSize; at < size; at += kObservationSize) {
+    const EndpointObservations o{readUint16(bytes + at), bytes[at + 2], bytes[at + 3], bytes[at + 4]};
+    // No instance sends an observation of no endpoint, or one without a failure.
+    if (o.fingerprint == 0 || failures(o) == 0) return std::nullopt;
+    out.observations.push_back(o);
+  }
   return out;
 }
 
-std::optional<Telling> unpack(const std::uint8_t *p, std::size_t n) {
-  if (n <= kHead || p[0] != kTellingVersion || (n - kHead) % kEach != 0 || (n - kHead) / kEach > kMostNodes)
-    return std::nullopt;
-  Telling out{static_cast<std::uint16_t>(p[1] << 8 | p[2]), {}};
-  for (std::size_t at = kHead; at < n; at += kEach) {
-    out.nodes.push_back(
-        {static_cast<std::uint16_t>(p[at] << 8 | p[at + 1]), p[at + 2], p[at + 3], p[at + 4]});
-    const auto &s = out.nodes.back();
-    if (s.node == 0 || (s.failed == 0 && s.lost == 0)) return std::nullopt; // nobody tells that
+void OutlierGossip::onOutcome(EndpointFingerprint fingerprint, Outcome outcome) {
+  const bool isLost = outcome == Outcome::unreachable || outcome == Outcome::reset ||
+                      outcome == Outcome::timedOut;
+  const bool hasFailed = outcome == Outcome::failed;
+  const bool hasSucceeded = outcome == Outcome::succeeded;
+  if (fingerprint == 0 || !(isLost || hasFailed || hasSucceeded)) return;
+  auto &observations = observations_[fingerprint];
+  observations.fingerprint = fingerprint;
+  if (hasFailed) observations.failed = saturatingIncrement(observations.failed);
+  if (isLost) observations.lostConnections = saturatingIncrement(observations.lostConnections);
+  if (hasSucceeded) {
+    observations.succeeded = saturatingIncrement(observations.succeeded);
+    reports_.erase(fingerprint); // what this instance has just seen outweighs what peers report
   }
+}
+
+// The endpoints that have failed, those with the most failures first, as many as a message holds.
+std::vector<EndpointObservations> OutlierGossip::takeWorstObservations() {
+  std::vector<EndpointObservations> out;
+  for (const auto &[fingerprint, observations] : observations_)
+    if (failures(observations) > 0) out.push_back(observations);
+  observations_.clear();
+  std::stable_sort(out.begin(), out.end(),
+                   [](const auto &a, const auto &b) { return failures(a) > failures(b); });
+  out.resize(std::min(out.size(), kMaxObservationsPerMessage));
   return out;
 }
 
-void OutlierGossip::finished(std::uint16_t node, Outcome outcome) {
-  const bool lost = outcome == Outcome::unreachable || outcome == Outcome::reset ||
-                    outcome == Outcome::timedOut;
-  const bool failed = outcome == Outcome::failed, completed = outcome == Outcome::succeeded;
-  if (node == 0 || !(lost || failed || completed)) return;
-  auto &seen = own_[node];
-  seen.node = node;
-  if (failed) seen.failed = more(seen.failed);
-  if (lost) seen.lost = more(seen.lost);
-  if (completed) seen.completed = more(seen.completed);
-  // What one has just seen itself is worth more than what was told.
-  if (const auto it = nodes_.find(node); completed && it != nodes_.end()) nodes_.erase(it);
-}
-
-// Once a second, to a few others drawn by chance: those with the most bad attempts, if there are too many.
-std::vector<PeerMessage> OutlierGossip::due(Nanoseconds now, std::knuth_b &chance) {
-  if (now < tellAt_) return {};
-  tellAt_ = now + static_cast<Nanoseconds>(std::uniform_real_distribution<double>(0.8, 1.2)(chance) * kTell);
-  Telling telling{static_cast<std::uint16_t>(zone_), {}};
-  for (const auto &[_, seen] : own_)
-    if (seen.failed + seen.lost > 0) telling.nodes.push_back(seen);
-  own_.clear();
-  if (telling.nodes.empty() || instanceCount_ < 2) return {};
-  std::stable_sort(telling.nodes.begin(), telling.nodes.end(),
-                   [](const Seen &a, const Seen &b) { return a.failed + a.lost > b.failed + b.lost; });
-  telling.nodes.resize(std::min(telling.nodes.size(), kMostNodes));
-  std::vector<int> others;
+std::vector<int> OutlierGossip::drawPeers(RandomEngine &random) const {
+  std::vector<int> peers;
   for (int i = 0; i < instanceCount_; ++i)
-    if (i != ownIndex_) others.push_back(i);
-  std::vector<PeerMessage> out;
-  const auto bytes = pack(telling);
-  for (std::size_t i = 0; i < others.size() && i < kListeners; ++i) {
-    std::uniform_int_distribution<std::size_t> rest(i, others.size() - 1);
-    std::swap(others[i], others[rest(chance)]);
-    out.push_back({others[i], bytes});
+    if (i != ownIndex_) peers.push_back(i);
+  const auto count = std::min(peers.size(), kPeersPerMessage);
+  for (std::size_t i = 0; i < count; ++i) {
+    std::uniform_int_distribution<std::size_t> remaining(i, peers.size() - 1);
+    std::swap(peers[i], peers[remaining(random)]);
   }
+  peers.resize(count);
+  return peers;
+}
+
+std::vector<PeerMessage> OutlierGossip::messagesDue(Nanoseconds now, RandomEngine &random) {
+  if (now < nextMessageAt_) return {};
+  std::uniform_real_distribution<double> jitter(kMinIntervalJitter, kMaxIntervalJitter);
+  nextMessageAt_ = now + static_cast<Nanoseconds>(jitter(random) * kMessageInterval);
+  const GossipMessage message{static_cast<std::uint16_t>(zone_), takeWorstObservations()};
+  const bool hasPeers = instanceCount_ > 1;
+  if (message.observations.empty() || !hasPeers) return {};
+  const auto bytes = encodeGossip(message);
+  std::vector<PeerMessage> out;
+  for (const int peer : drawPeers(random)) out.push_back({peer, bytes});
   return out;
 }
 
-void OutlierGossip::age(Held &held, Nanoseconds now) {
-  const double kept = std::exp2(-static_cast<double>(now - held.at) / kHalf);
-  held.failed *= kept, held.lost *= kept, held.completed *= kept;
-  held.at = now;
+void OutlierGossip::decay(PeerReports &reports, Nanoseconds now) {
+  const double kept = std::exp2(-static_cast<double>(now - reports.updatedAt) / kReportHalfLifeNanoseconds);
+  reports.failed *= kept;
+  reports.lostConnections *= kept;
+  reports.succeeded *= kept;
+  reports.updatedAt = now;
+}
+
+// Guards memory against peers that report endpoints which do not exist.
+bool OutlierGossip::mayTrack(EndpointFingerprint fingerprint) const {
+  return reports_.size() < kMaxTrackedEndpoints || reports_.contains(fingerprint);
 }
 
-// Guards memory against tellers of endpoints that are not there.
-bool OutlierGossip::room(std::uint16_t node) const {
-  return nodes_.size() < kMostHeld || nodes_.contains(node);
+// Paths between zones differ, so lost connections count only if a peer of this instance's zone reports them.
+void OutlierGossip::addReport(PeerReports &reports, int from, const EndpointObservations &observations,
+                              bool isSameZone) const {
+  const double lostConnections = isSameZone ? observations.lostConnections : 0;
+  reports.failed += observations.failed;
+  reports.lostConnections += lostConnections;
+  reports.succeeded += observations.succeeded;
+  const bool isComplaint = observations.failed + lostConnections > 0;
+  if (!isComplaint) return;
+  if (reports.latestComplainant >= 0 && reports.latestComplainant != from)
+    reports.hasSeveralComplainants = true;
+  reports.latestComplainant = from;
 }
 
-// Guards against endpoints that fail or have vanished, where each instance alone would meet them too seldom
-// to know. Two tellers at least, so that one whose own ways are broken condemns nobody; ways between zones
-// differ, so of lost attempts only the own zone's are believed. Could harm where an endpoint fails for some
-// and serves others: an own completed try ends the doubt.
-void OutlierGossip::heard(int from, const Telling &telling, Nanoseconds now, std::knuth_b &chance) {
+// Two peers at least must complain, so that one whose own network is broken condemns no endpoint.
+bool OutlierGossip::isOutlier(const PeerReports &reports) {
+  const double failures = reports.failed + reports.lostConnections;
+  return reports.hasSeveralComplainants && failures >= kMinFailuresToSuspect &&
+         failures >= kMinFailureShareToSuspect * (failures + reports.succeeded);
+}
+
+void OutlierGossip::makeSuspect(PeerReports &reports, Nanoseconds now, RandomEngine &random) {
+  const int doublings = std::min(reports.suspicions, kMaxSuspectTimeDoublings);
+  ++reports.suspicions;
+  const auto time = static_cast<double>(std::min(kBaseSuspectTime << doublings, kMaxSuspectTime));
+  std::uniform_real_distribution<double> jitter(kMinSuspectTimeJitter, kMaxSuspectTimeJitter);
+  reports.suspectUntil = now + static_cast<Nanoseconds>(jitter(random) * time);
+  // The next suspicion needs reports of its own.
+  reports.failed = 0;
+  reports.lostConnections = 0;
+  reports.succeeded = 0;
+}
+
+// Guards against endpoints that fail or have vanished where each instance alone would meet them too seldom to
+// know. Could harm where an endpoint fails for some and serves others: a success of this instance's own ends
+// the suspicion.
+void OutlierGossip::onGossip(int from, const GossipMessage &message, Nanoseconds now, RandomEngine &random) {
   if (from < 0 || from >= instanceCount_ || from == ownIndex_) return;
-  for (const auto &s : telling.nodes) {
-    if (!room(s.node)) continue;
-    const double lost = telling.zone == zone_ ? s.lost : 0;
-    auto &held = nodes_[s.node];
-    age(held, now);
-    held.failed += s.failed, held.lost += lost, held.completed += s.completed;
-    if (s.failed + lost > 0) held.more |= held.last >= 0 && held.last != from, held.last = from;
-    const double bad = held.failed + held.lost;
-    if (!held.more || held.until > now || bad < kEnough || bad < kShare * (bad + held.completed)) continue;
-    const double spell = static_cast<double>(std::min(kSpell << std::min(held.spells++, 10), kMost));
-    held.until = now +
-                 static_cast<Nanoseconds>(std::uniform_real_distribution<double>(0.7, 1.3)(chance) * spell);
-    held.failed = held.lost = held.completed = 0; // the next spell wants words of its own
+  const bool isSameZone = message.senderZone == zone_;
+  for (const auto &observations : message.observations) {
+    if (!mayTrack(observations.fingerprint)) continue;
+    auto &reports = reports_[observations.fingerprint];
+    decay(reports, now);
+    addReport(reports, from, observations, isSameZone);
+    const bool isSuspect = reports.suspectUntil > now;
+    if (!isSuspect && isOutlier(reports)) makeSuspect(reports, now, random);
   }
-  for (auto it = nodes_.begin(); it != nodes_.end();) // long at rest: forgotten
-    it = now - it->second.at > 4 * kMost && it->second.until < now ? nodes_.erase(it) : std::next(it);
+  forgetStaleReports(now);
+}
+
+void OutlierGossip::forgetStaleReports(Nanoseconds now) {
+  std::erase_if(reports_, [now](const auto &entry) {
+    const auto &reports = entry.second;
+    return now - reports.updatedAt > kReportLifetime && reports.suspectUntil < now;
+  });
 }
 
-Nanoseconds OutlierGossip::doubtedUntil(std::uint16_t node) const {
-  const auto it = nodes_.find(node);
-  return it == nodes_.end() ? 0 : it->second.until;
+Nanoseconds OutlierGossip::suspectUntil(EndpointFingerprint fingerprint) const {
+  const auto it = reports_.find(fingerprint);
+  return it == reports_.end() ? 0 : it->second.suspectUntil;
 }
 
-void OutlierGossip::forget(std::uint16_t node) {
-  own_.erase(node);
-  nodes_.erase(node);
+void OutlierGossip::onEndpointReplaced(EndpointFingerprint fingerprint) {
+  observations_.erase(fingerprint);
+  reports_.erase(fingerprint);
 }
 
-} // namespace myrtlehead::outlier_gossip
+} // namespace myrtlehead
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -84,8 +84,8 @@
   }
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->endpoint;
-    gossip_.finished(endpoint.fingerprint, outcome);
-    endpoint.health.suspectUntilByPeers = gossip_.doubtedUntil(endpoint.fingerprint);
+    gossip_.onOutcome(endpoint.fingerprint, outcome);
+    endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
   return toAttempt(context, policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
@@ -196,7 +196,7 @@
                            before.state != after.state || known.address != entry.address;
     if (!known.isReady || isChanged) {
       ++known.version;
-      gossip_.forget(known.endpoint->fingerprint);
+      gossip_.onEndpointReplaced(known.endpoint->fingerprint);
       known.endpoint->health.suspectUntilByPeers = 0;
     }
     known.address = entry.address;
@@ -268,9 +268,9 @@
 
 void Router::onPeerMessage(int from, std::string_view bytes) {
   const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
-  if (const auto gossip = outlier_gossip::unpack(data, bytes.size())) {
-    gossip_.heard(from, *gossip, now(), gossipRandom_);
-    applyGossip(*gossip);
+  if (const auto message = decodeGossip(data, bytes.size())) {
+    gossip_.onGossip(from, *message, now(), gossipRandom_);
+    applyGossip(*message);
     return;
   }
   policy_.onPeerMessage(from, data, bytes.size(), now());
@@ -278,11 +278,11 @@
   activity_.notify();
 }
 
-void Router::applyGossip(const outlier_gossip::Telling &gossip) {
-  for (const auto &seen : gossip.nodes)
+void Router::applyGossip(const GossipMessage &message) {
+  for (const auto &observed : message.observations)
     for (auto &known : endpoints_)
-      if (known.endpoint->fingerprint == seen.node)
-        known.endpoint->health.suspectUntilByPeers = gossip_.doubtedUntil(seen.node);
+      if (known.endpoint->fingerprint == observed.fingerprint)
+        known.endpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListTrust() {
@@ -303,7 +303,8 @@
   updateListTrust();
   auto due = policy_.runDueTasks(now());
   if (policy_.deployment().hasPeers)
-    for (auto &message : gossip_.due(now(), gossipRandom_)) due.messages.push_back(std::move(message));
+    for (auto &message : gossip_.messagesDue(now(), gossipRandom_))
+      due.messages.push_back(std::move(message));
   for (const auto &line : due.logLines) log_.info(line);
   for (auto &message : due.messages) messages_.push_back(std::move(message));
   if (!due.messages.empty()) messageQueued_.notify();
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -112,7 +112,7 @@
   void applyUpdates(const std::vector<Entry> &entries, bool isComplete);
   void adoptLeadingNames(const std::vector<Entry> &entries);
   void observePriorityGroups();
-  void applyGossip(const outlier_gossip::Telling &gossip);
+  void applyGossip(const GossipMessage &message);
   void updateListTrust();
   void runDueTasks();
   double drawForList();
@@ -125,7 +125,7 @@
   endpoint_merge::EndpointMerge *merge_ = nullptr; // null: the list alone
   priority_selector::PrioritySelector prioritySelector_;
   RandomEngine priorityRandom_;
-  outlier_gossip::OutlierGossip gossip_; // where instances may send each other messages
+  OutlierGossip gossip_; // where instances may send each other messages
   RandomEngine gossipRandom_;
   discovery_subscription::DiscoverySubscription subscription_;
   RandomEngine subscriptionRandom_;
--- a/src/sim/adapter/adapter.h
+++ b/src/sim/adapter/adapter.h
@@ -21,7 +21,7 @@
         gossip(policy.deployment().ownIndex, policy.deployment().instanceCount, policy.deployment().zone),
         random(seed + 3), subscription(policy.deployment()) {}
   RoutingPolicy policy;
-  outlier_gossip::OutlierGossip gossip;
+  OutlierGossip gossip;
   RandomEngine random; // for the gossip and the calls for the endpoint list
   discovery_subscription::DiscoverySubscription subscription;
   Writer out; // its records in the reply; they go with it if it is killed in the batch
