--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -4,18 +4,14 @@
 
 namespace myrtlehead::discovery {
 
-using discovery_subscription::Ended;
-using discovery_subscription::kOver;
-using discovery_subscription::Others;
-
 namespace {
 
 // What the end of a call tells of discovery. `poll`: the outcome of the request; `cause`: why the call ended.
-Ended classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasMessage) {
+CallEnd classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasMessage) {
   if (poll.progress == net::SendProgress::notConnected)
-    return poll.cause == net::ErrorCode::refused ? Ended::down : Ended::unreachable;
+    return poll.cause == net::ErrorCode::refused ? CallEnd::nobodyListens : CallEnd::unreachable;
   const bool isClosed = cause == net::ErrorCode::closedByPeer || cause == net::ErrorCode::connectionLost;
-  return hasMessage && isClosed ? Ended::cut : Ended::refused;
+  return hasMessage && isClosed ? CallEnd::watchClosed : CallEnd::refused;
 }
 
 } // namespace
@@ -61,10 +57,11 @@
 }
 
 // What is still open at discovery's current address.
-Others EndpointWatch::otherCalls() const {
-  auto out = Others::none;
+OtherCalls EndpointWatch::otherCalls() const {
+  auto out = OtherCalls::none;
   for (const auto &[number, call] : calls_)
-    if (isAtCurrentAddress(*call)) out = std::max(out, call->hasMessage ? Others::stands : Others::asked);
+    if (isAtCurrentAddress(*call))
+      out = std::max(out, call->hasMessage ? OtherCalls::watching : OtherCalls::unanswered);
   return out;
 }
 
@@ -73,14 +70,14 @@
   http_client::Exchange exchange(sched_, budget_);
   const auto target = "/catalog/members?stream=1&index=" + std::to_string(listIndex_);
   auto request = http::writeRequest("GET", target, "discovery");
-  const net::Deadline pollDeadline{sched_.now() + kOver, superseded};
+  const net::Deadline pollDeadline{sched_.now() + kMaxWatchSilence, superseded};
   const auto poll = co_await exchange.sendRequest(call->at, std::move(request), pollDeadline);
   auto cause = poll.cause;
   if (cause == net::ErrorCode::none && exchange.head().status != 200) cause = net::ErrorCode::refused;
   while (cause == net::ErrorCode::none) {
     cause = handleMessages(number, *call, exchange.body);
     if (cause != net::ErrorCode::none) break;
-    const net::Deadline messageDeadline{sched_.now() + kOver, superseded};
+    const net::Deadline messageDeadline{sched_.now() + kMaxWatchSilence, superseded};
     cause = co_await exchange.readMore(messageDeadline);
   }
   calls_.erase(number);
@@ -98,7 +95,8 @@
       if (error != net::ErrorCode::none) return error;
     }
     call.hasMessage = true;
-    router_.onListMessage(isAtCurrentAddress(call));
+    router_.onListMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
+                                                   : MessageSource::formerAddress);
     cancelOlderCalls(number);
   }
   return net::ErrorCode::none;
--- a/src/control/discovery/endpoint_watch.h
+++ b/src/control/discovery/endpoint_watch.h
@@ -42,7 +42,7 @@
   net::ErrorCode applyListUpdate(const std::string &message);
   void cancelOlderCalls(CallNumber number);
   bool isAtCurrentAddress(const Call &call) const { return call.addressVersion == addressVersion_; }
-  discovery_subscription::Others otherCalls() const;
+  OtherCalls otherCalls() const;
 
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
--- a/src/policy/discovery_subscription.cpp
+++ b/src/policy/discovery_subscription.cpp
@@ -2,93 +2,123 @@
 
 #include <algorithm>
 
-namespace myrtlehead::discovery_subscription {
+namespace myrtlehead {
 
 namespace {
-// What discovery's protocol says: a line every so often; what a silent watch misses counts as told so long
-// after the last line at the earliest; what counts after a move, likewise.
-constexpr Nanoseconds kLine = 2 * kSecond, kTold = 6 * kSecond;
-constexpr Nanoseconds kLate =
-    400 * kMillisecond; // a line may be late by that, for the network's and a busy instance's sake
-// The fleet's calls after a silence: what is left of the told time but for discovery's own two seconds in
-// which it answers or refuses; after a move, within its four seconds likewise.
-constexpr Nanoseconds kSilenceSpread = 1400 * kMillisecond, kMoveSpread = 1500 * kMillisecond;
-constexpr Nanoseconds kProof =
-    5500 * kMillisecond; // the told time less a way there, an attempt's and the drain's own slack
-// How long it counts that an endpoint has served. A draining endpoint may go on serving for a while
-// (seen: 1.05 s), so two seconds of the told time are kept for that.
-constexpr Nanoseconds kProofLife = 4 * kSecond;
-constexpr Nanoseconds kMovedProof = 3500 * kMillisecond; // the same of the four seconds after a move
-constexpr Nanoseconds kEarliest =
-    1; // 0 says that the list is believed, and that an endpoint was never proven
-constexpr Nanoseconds kUnanswered =
-    3 * kSecond; // a call that discovery has neither answered nor refused is made again
-// After a failure: an instance alone, each further one of the fleet, and all of them once it goes on failing.
-constexpr Nanoseconds kRetry = 400 * kMillisecond, kEach = 20 * kMillisecond, kMost = 6 * kSecond;
-constexpr Nanoseconds kAgent =
-    150 * kMillisecond; // where lists are pushed an agent of this instance's own is asked
+
+// By discovery's protocol a watch sends at least a keep-alive this often.
+constexpr Nanoseconds kKeepAliveInterval = 2 * kSecond;
+// Allows for delays of the network and of a busy instance.
+constexpr Nanoseconds kMaxKeepAliveDelay = 400 * kMillisecond;
+
+// By the operators' rules, an instance counts as notified of a change this long after it at the latest, and
+// this long after a move of discovery.
+constexpr Nanoseconds kCountsAsNotifiedAfter = 6 * kSecond;
+constexpr Nanoseconds kCountsAsNotifiedAfterMove = 4 * kSecond;
+
+// Windows over which the fleet's polls are spread. They end early enough for discovery to answer within the
+// two seconds that it may take, before the instance counts as notified.
+constexpr Nanoseconds kPollWindowAfterSilence = 1400 * kMillisecond;
+constexpr Nanoseconds kPollWindowAfterMove = 1500 * kMillisecond;
+
+// How long a list without updates is relied on. The margin covers the way to an endpoint.
+constexpr Nanoseconds kNotificationMargin = 500 * kMillisecond;
+constexpr Nanoseconds kListReliableFor = kCountsAsNotifiedAfter - kNotificationMargin;
+constexpr Nanoseconds kListReliableAfterMove = kCountsAsNotifiedAfterMove - kNotificationMargin;
+// For how long an answer proves that an endpoint was not departing. Shorter than kCountsAsNotifiedAfter by
+// the two seconds for which a draining endpoint may go on serving.
+constexpr Nanoseconds kProofLifetime = 4 * kSecond;
+// Since 0 means that the list is up to date.
+constexpr Nanoseconds kEarliestProof = 1;
+
+constexpr Nanoseconds kUnansweredCallTimeout = 3 * kSecond;
+
+// The first backoff grows with the fleet, so that all its polls together do not overload discovery.
+constexpr Nanoseconds kMinFirstBackoff = 400 * kMillisecond;
+constexpr Nanoseconds kFirstBackoffPerInstance = 20 * kMillisecond;
+constexpr Nanoseconds kMaxBackoff = 6 * kSecond;
+constexpr int kMaxBackoffDoublings = 10; // keeps the shift defined; kMaxBackoff is met before
+constexpr Nanoseconds kLocalAgentBackoff = 150 * kMillisecond;
+constexpr double kMinBackoffJitter = 0.2; // fraction of the backoff
+constexpr double kBackoffJitterRange = 1.6;
+
 } // namespace
 
-Nanoseconds DiscoverySubscription::turn(Nanoseconds window, double chance) const {
-  return static_cast<Nanoseconds>(static_cast<double>(window) * (ownIndex_ + chance) /
+// This instance's place within the window, the places of the fleet being evenly spaced.
+Nanoseconds DiscoverySubscription::ownShareOf(Nanoseconds window, double jitter) const {
+  return static_cast<Nanoseconds>(static_cast<double>(window) * (ownIndex_ + jitter) /
                                   std::max(instanceCount_, 1));
 }
 
-bool DiscoverySubscription::lively(Nanoseconds now) const {
-  return lineAt_ > 0 && now - lineAt_ < kLine + kLate;
+bool DiscoverySubscription::isReceiving(Nanoseconds now) const {
+  return lastMessageAt_ > 0 && now - lastMessageAt_ < kKeepAliveInterval + kMaxKeepAliveDelay;
+}
+
+void DiscoverySubscription::onCallSent(Nanoseconds now) {
+  nextCallAt_ = now + kUnansweredCallTimeout;
+  if (!hasSentCall()) listCurrentAt_ = now; // the list known at the start is relied on from here
 }
 
-// The list known at the start is believed until the first call has failed.
-void DiscoverySubscription::called(Nanoseconds now) {
-  callAt_ = now + kUnanswered;
-  if (!hasCalled()) currentAt_ = now;
+void DiscoverySubscription::onAnswered() {
+  nextCallAt_ = kNoCallDue;
+  consecutiveFailures_ = 0;
 }
 
-void DiscoverySubscription::answered() {
-  callAt_ = kNoCall;
-  failures_ = 0;
+void DiscoverySubscription::onMessage(MessageSource source, Nanoseconds now, double jitter) {
+  if (source == MessageSource::formerAddress) return;
+  onAnswered();
+  lastMessageAt_ = now;
+  listCurrentAt_ = now;
+  movedAt_ = 0;
+  hasFailedSinceStart_ = false;
+  const Nanoseconds window = isSharedByFleet_ ? kPollWindowAfterSilence : 0;
+  nextCallAt_ = now + kKeepAliveInterval + kMaxKeepAliveDelay + ownShareOf(window, jitter);
 }
 
-void DiscoverySubscription::line(bool here, Nanoseconds now, double chance) {
-  if (!here) return;
-  answered();
-  lineAt_ = currentAt_ = now, movedAt_ = 0;
-  startFailed_ = false;
-  callAt_ = now + kLine + kLate + turn(asked_ ? kSilenceSpread : 0, chance);
+// The first call after a watch was closed comes within the poll interval of the settings. A local agent
+// serves this instance alone, so its backoff does not grow.
+Nanoseconds DiscoverySubscription::backoffAfter(CallEnd end) const {
+  Nanoseconds first = isSharedByFleet_ ? std::max(kMinFirstBackoff, kFirstBackoffPerInstance * instanceCount_)
+                                       : kLocalAgentBackoff;
+  if (end == CallEnd::watchClosed && pollInterval_ > 0)
+    first = std::min(first, std::max(kMinFirstBackoff, pollInterval_ / 4));
+  if (!isSharedByFleet_) return first;
+  const int doublings = std::min(consecutiveFailures_, kMaxBackoffDoublings);
+  return std::min(first << doublings, std::max(first, kMaxBackoff));
 }
 
-// Guards against a fleet whose own calls keep discovery from answering any: the longer it fails, the rarer
-// they get, drawn apart. The first call after a watch was ended comes within the time that the settings give
-// for asking.
-void DiscoverySubscription::ended(Ended how, Others others, Nanoseconds now, double chance) {
-  if (others == Others::stands && lively(now)) return; // what is still open speaks for itself
-  // A watch that tells up to its end has told all by then, and nobody is told anything while nobody listens.
-  const bool whole = how == Ended::cut && lively(now);
-  if (whole || how == Ended::down) currentAt_ = now;
-  startFailed_ = startFailed_ || lineAt_ == 0;
-  if (others == Others::asked) return; // so does a call that is out, by its end or once its time has passed
-  Nanoseconds first = asked_ ? std::max(kRetry, kEach * instanceCount_) : kAgent;
-  if (how == Ended::cut && askEvery_ > 0) first = std::min(first, std::max(kRetry, askEvery_ / 4));
-  const Nanoseconds pause = asked_ ? std::min(first << std::min(failures_, 10), std::max(first, kMost))
-                                   : first;
-  ++failures_;
-  callAt_ = now + static_cast<Nanoseconds>((0.2 + 1.6 * chance) * static_cast<double>(pause));
+// Guards against a fleet whose own polls keep discovery from answering any: the backoff grows with each
+// failure and is jittered.
+void DiscoverySubscription::onClosed(CallEnd end, OtherCalls others, Nanoseconds now, double jitter) {
+  const bool isWatchedElsewhere = others == OtherCalls::watching && isReceiving(now);
+  if (isWatchedElsewhere) return;
+  // A watch that received messages up to its end has missed nothing, and while discovery is down nobody is
+  // notified of anything.
+  const bool hasMissedNothing = end == CallEnd::watchClosed && isReceiving(now);
+  if (hasMissedNothing || end == CallEnd::nobodyListens) listCurrentAt_ = now;
+  if (lastMessageAt_ == 0) hasFailedSinceStart_ = true;
+  // The unanswered call will end in its turn, or be repeated when its time is up.
+  if (others == OtherCalls::unanswered) return;
+  const auto backoff = static_cast<double>(backoffAfter(end));
+  ++consecutiveFailures_;
+  nextCallAt_ = now + static_cast<Nanoseconds>((kMinBackoffJitter + kBackoffJitterRange * jitter) * backoff);
 }
 
-void DiscoverySubscription::moved(Nanoseconds now, double chance) {
-  failures_ = 0;
+void DiscoverySubscription::onMoved(Nanoseconds now, double jitter) {
+  consecutiveFailures_ = 0;
   movedAt_ = now;
-  callAt_ = now + turn(asked_ ? kMoveSpread : 0, chance);
+  nextCallAt_ = now + ownShareOf(isSharedByFleet_ ? kPollWindowAfterMove : 0, jitter);
 }
 
-Nanoseconds DiscoverySubscription::provenSince(Nanoseconds now, bool namesFollowed) const {
-  if (namesFollowed && lineAt_ == 0) return 0;
-  if (movedAt_ != 0 && now >= movedAt_ + kMovedProof) return std::max(now - kMovedProof, kEarliest);
-  // Nobody knows how old a list is that was known at the start: an endpoint of it may have left and come
-  // back, and serve, while its leaving counts as told and its return does not.
-  if (startFailed_) return kNothingProven;
-  if (!hasCalled() || now < currentAt_ + kProof) return 0;
-  return std::max(now - kProofLife, kEarliest);
+Nanoseconds DiscoverySubscription::provenSince(Nanoseconds now, ListSources sources) const {
+  if (sources == ListSources::discoveryAndDns && lastMessageAt_ == 0) return 0;
+  if (movedAt_ != 0 && now >= movedAt_ + kListReliableAfterMove)
+    return std::max(now - kListReliableAfterMove, kEarliestProof);
+  // The list known at the start is of unknown age: an endpoint on it may have left and come back, and serve,
+  // while this instance counts as notified of its departure but not of its return.
+  if (hasFailedSinceStart_) return kNothingProven;
+  if (!hasSentCall() || now < listCurrentAt_ + kListReliableFor) return 0;
+  return std::max(now - kProofLifetime, kEarliestProof);
 }
 
-} // namespace myrtlehead::discovery_subscription
+} // namespace myrtlehead
--- a/src/policy/discovery_subscription.h
+++ b/src/policy/discovery_subscription.h
@@ -1,67 +1,89 @@
-// When an instance asks discovery for the list, and what it may still believe of a list that has fallen
-// silent. No I/O; time and chance are arguments. Three facts get three answers: a watch that says nothing
-// more, a call that was refused, and a discovery that is down. Discovery is one for the whole fleet, so what
-// all instances would ask in the same moment is spread over the time that there is, by their numbers and
-// chance.
+// When an instance polls discovery for the endpoint list, and how far it may rely on a list that is no longer
+// updated. No I/O: time and jitter are arguments.
+//
+// Terms: a poll is a call for the list; once answered it becomes a watch, which sends watch events and, while
+// nothing changes, keep-alives. Discovery is one service for the whole fleet, so polls that all instances
+// would make at the same moment are spread over the time available, by the instances' numbers and jitter.
 #pragma once
 
 #include "policy/deployment.h"
 
 #include <limits>
 
-namespace myrtlehead::discovery_subscription {
+namespace myrtlehead {
 
-constexpr Nanoseconds kNoCall = std::numeric_limits<Nanoseconds>::max();
-constexpr Nanoseconds kNothingProven = std::numeric_limits<Nanoseconds>::max(); // no endpoint may be sent to
-// A watch without a line for so long is over (a line comes every two seconds), as is a call without an
-// answer.
-constexpr Nanoseconds kOver = 5 * kSecond;
+// Values of nextCallAt() and provenSince().
+constexpr Nanoseconds kNoCallDue = std::numeric_limits<Nanoseconds>::max();
+constexpr Nanoseconds kNothingProven = std::numeric_limits<Nanoseconds>::max();
 
-// How a call or a watch ended. refused: discovery says that it can't, breaks the call off or keeps it
-// waiting. unreachable: no connection came about. down: its machine refused the connection, so nobody listens
-// there. cut: discovery ended a watch that stood, as when it goes down.
-enum class Ended { refused, unreachable, down, cut };
+// A poll without an answer, or a watch without a message, is given up after this time.
+constexpr Nanoseconds kMaxWatchSilence = 5 * kSecond;
 
-// What else is open at discovery's present place: nothing, a call that has not told anything yet, or a watch.
-enum class Others { none, asked, stands };
+// How a poll or a watch ended.
+enum class CallEnd {
+  refused,       // discovery answered with an error, broke the poll off, or kept it waiting too long
+  unreachable,   // no connection came about
+  nobodyListens, // the machine at discovery's address refused the connection: discovery is down
+  watchClosed    // discovery closed a watch that had sent messages, as it does when it goes down
+};
+
+// What else is open at discovery's current address when a poll or a watch ends.
+enum class OtherCalls {
+  none,
+  unanswered, // a poll that has received no message yet
+  watching    // a watch that has sent messages
+};
+
+enum class MessageSource { currentAddress, formerAddress };
+
+// Where the endpoint set comes from.
+enum class ListSources { discovery, discoveryAndDns };
 
 class DiscoverySubscription {
 public:
-  // `chance` is from [0, 1) here and below. The first call is due at once.
-  DiscoverySubscription(const Deployment &deployment)
+  // The first call is due at once.
+  explicit DiscoverySubscription(const Deployment &deployment)
       : ownIndex_(deployment.ownIndex), instanceCount_(deployment.instanceCount),
-        asked_(deployment.pollsEndpointList), askEvery_(deployment.pollInterval) {}
-
-  // Facts.
-  void called(Nanoseconds now); // a call has gone out
-  void answered();              // the subscription stands
-  // Of any open watch, a sign of life too. Here: at the present place, where it is to go on telling; a line
-  // of a former place says nothing of what the present one has to tell.
-  void line(bool here, Nanoseconds now, double chance);
-  void ended(Ended how, Others others, Nanoseconds now, double chance);
-  void moved(Nanoseconds now, double chance); // discovery is somewhere else from now on
-
-  Nanoseconds callAt() const { return callAt_; } // when the next call goes out; kNoCall: not as things stand
-  // An endpoint may only be sent to if it has served an attempt that was sent to it since then; 0: the list
-  // is to be believed. Past the time at which what discovery has to tell counts as told, a departure unheard
-  // of would be held against this instance, whether its watch has fallen silent, was ended, or never came
-  // about. An endpoint that has just served was no departing one. kNothingProven: of no endpoint is that
-  // known. `namesFollowed`: name records list endpoints too; they stand in for a list that has never come.
-  Nanoseconds provenSince(Nanoseconds now, bool namesFollowed = false) const;
+        isSharedByFleet_(deployment.pollsEndpointList), pollInterval_(deployment.pollInterval) {}
+
+  // Notifications. `jitter` is drawn uniformly from [0, 1).
+  void onCallSent(Nanoseconds now);
+  void onAnswered(); // the watch stands: no further call is due
+  // A watch event or a keep-alive. A former address may send its watchers messages for a while after a move;
+  // they don't count, since they say nothing of what the current address has to tell.
+  void onMessage(MessageSource source, Nanoseconds now, double jitter);
+  void onClosed(CallEnd end, OtherCalls others, Nanoseconds now, double jitter);
+  void onMoved(Nanoseconds now, double jitter); // discovery has a new address
+
+  // When the next call goes out; kNoCallDue: none, as things stand.
+  Nanoseconds nextCallAt() const { return nextCallAt_; }
+
+  // 0: the list is up to date. Otherwise requests may go only to an endpoint that has answered an attempt
+  // sent at this time or later; kNothingProven: to none.
+  //
+  // Discovery counts this instance as notified of a change some time after making it, whether or not the
+  // change arrived. From then on the list may still hold an endpoint whose departure it missed, whatever the
+  // reason: the watch has fallen silent, was closed, or never came about. An endpoint that has just served
+  // was not departing. DNS records stand in for a list that has never come.
+  Nanoseconds provenSince(Nanoseconds now, ListSources sources = ListSources::discovery) const;
 
 private:
-  Nanoseconds turn(Nanoseconds window,
-                   double chance) const; // this instance's place among all, within the window
-  int ownIndex_, instanceCount_;
-  bool asked_;
-  Nanoseconds askEvery_;
-  Nanoseconds callAt_ = 0, lineAt_ = 0; // lineAt_: the last line here
-  Nanoseconds currentAt_ = kNoCall; // when the list last held all that counts as told; kNoCall: never asked
-  bool hasCalled() const { return currentAt_ != kNoCall; }
-  bool startFailed_ = false; // a call has failed, and no line has come since the start
-  Nanoseconds movedAt_ = 0;  // no line has come since the move; 0: one has
-  bool lively(Nanoseconds now) const;
-  int failures_ = 0; // calls in a row
+  Nanoseconds ownShareOf(Nanoseconds window, double jitter) const;
+  Nanoseconds backoffAfter(CallEnd end) const;
+  bool hasSentCall() const { return listCurrentAt_ != kNoCallDue; }
+  bool isReceiving(Nanoseconds now) const;
+
+  int ownIndex_;
+  int instanceCount_;
+  bool isSharedByFleet_; // false: a local agent of this instance's own serves the list
+  Nanoseconds pollInterval_;
+  Nanoseconds nextCallAt_ = 0;
+  Nanoseconds lastMessageAt_ = 0; // from the current address; 0: none yet
+  Nanoseconds listCurrentAt_ =
+      kNoCallDue;                    // when the list last held every change; kNoCallDue: no call sent yet
+  Nanoseconds movedAt_ = 0;          // 0: a message has come since the latest move
+  bool hasFailedSinceStart_ = false; // a call has failed, and no message has come since the start
+  int consecutiveFailures_ = 0;
 };
 
-} // namespace myrtlehead::discovery_subscription
+} // namespace myrtlehead
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -107,9 +107,9 @@
 }
 
 sched::Task<> Router::nextListRequest() {
-  while (now() < subscription_.callAt())
-    co_await sched_.wait(listRequestChanged_, {subscription_.callAt(), nullptr});
-  subscription_.called(now());
+  while (now() < subscription_.nextCallAt())
+    co_await sched_.wait(listRequestChanged_, {subscription_.nextCallAt(), nullptr});
+  subscription_.onCallSent(now());
 }
 
 UpstreamEndpoint &Router::endpointNamed(const std::string &name) {
@@ -211,21 +211,20 @@
   runDueTasks();
 }
 
-void Router::onListMessage(bool isCurrentPlace) {
-  subscription_.line(isCurrentPlace, now(), drawForList());
+void Router::onListMessage(MessageSource source) {
+  subscription_.onMessage(source, now(), drawForList());
   listRequestChanged_.notify();
 }
 
-void Router::onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others,
-                          bool isLast) {
+void Router::onListClosed(CallEnd end, OtherCalls others, bool isLast) {
   if (merge_ != nullptr && isLast) merge_->listFailed();
-  subscription_.ended(how, others, now(), drawForList());
+  subscription_.onClosed(end, others, now(), drawForList());
   listRequestChanged_.notify();
   runDueTasks();
 }
 
 void Router::onDiscoveryMoved() {
-  subscription_.moved(now(), drawForList());
+  subscription_.onMoved(now(), drawForList());
   listRequestChanged_.notify();
 }
 
@@ -286,10 +285,10 @@
 }
 
 void Router::updateListTrust() {
-  const bool usesDnsRecords = merge_ != nullptr;
-  const Nanoseconds since = subscription_.provenSince(now(), usesDnsRecords);
+  const auto sources = merge_ != nullptr ? ListSources::discoveryAndDns : ListSources::discovery;
+  const Nanoseconds since = subscription_.provenSince(now(), sources);
   const Nanoseconds before = policy_.provenSince();
-  if (since == discovery_subscription::kNothingProven && before != since)
+  if (since == kNothingProven && before != since)
     log_.warning(
         "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
   else if (since != 0 && before == 0)
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -79,10 +79,10 @@
   sched::Task<> nextListRequest();
   // isComplete: endpoints that are not among the entries are gone.
   void onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete);
-  // Any message of an open watch. isCurrentPlace: it came from where discovery is now.
-  void onListMessage(bool isCurrentPlace);
+  // Any message of an open watch.
+  void onListMessage(MessageSource source);
   // A call for the list or a watch has ended. isLast: nothing else is open.
-  void onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others, bool isLast);
+  void onListClosed(CallEnd end, OtherCalls others, bool isLast);
   void onDiscoveryMoved();
   UpstreamEndpoint *findEndpoint(const std::string &name);
 
@@ -127,7 +127,7 @@
   RandomEngine priorityRandom_;
   OutlierGossip gossip_; // where instances may send each other messages
   RandomEngine gossipRandom_;
-  discovery_subscription::DiscoverySubscription subscription_;
+  DiscoverySubscription subscription_;
   RandomEngine subscriptionRandom_;
   std::deque<UpstreamEndpoint> endpoints_;
   std::unordered_map<std::string, UpstreamEndpoint *> byName_;
--- a/src/sim/adapter/adapter.h
+++ b/src/sim/adapter/adapter.h
@@ -23,7 +23,7 @@
   RoutingPolicy policy;
   OutlierGossip gossip;
   RandomEngine random; // for the gossip and the calls for the endpoint list
-  discovery_subscription::DiscoverySubscription subscription;
+  DiscoverySubscription subscription;
   Writer out; // its records in the reply; they go with it if it is killed in the batch
   std::unordered_map<EndpointId, Endpoint *> endpoints;
   std::unordered_map<std::uint64_t, std::unique_ptr<Request>> requests;
