--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -204,7 +204,7 @@
   if (station.deployment.hasPeers)
     datagrams = std::make_unique<peers::PeerTransport>(sched, budget, router, station.peerListen,
                                                        station.peers, station.peersAll);
-  if (station.known.kind != json::Value::null && !watch.start(station.known))
+  if (station.known.kind != json::Value::null && !watch.loadKnownList(station.known))
     throw bootstrap::SetupError("the configuration's 'known' is no list of nodes");
   if (const auto news = rollout::readRolloutState(station.news))
     router.onRolloutState(*news);
@@ -224,9 +224,9 @@
                             station.memory / 8); // what a large request takes in all is below four times it
   sched.spawn(router.run());
   sched.spawn(watch.run());
-  sched.spawn(desk.keepOpen());
+  sched.spawn(desk.keepConnectionOpen());
   sched.spawn(desk.sendVotes());
-  sched.spawn(desk.readBulletin());
+  sched.spawn(desk.followEventStream());
   sched.spawn(pool.sweep());
   if (datagrams) {
     sched.spawn(datagrams->send());
