--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -43,8 +43,8 @@
 } // namespace
 
 Fleet::Fleet(net::Scheduler &sched, net::DescriptorBudget &budget, const Beginning &beginning)
-    : sched_(sched), budget_(budget), discovery_(net::listenAt(sched, budget, beginning.discovery)),
-      platform_(net::listenAt(sched, budget, beginning.platform)), caps_(beginning.stageCaps),
+    : sched_(sched), budget_(budget), discovery_(net::listenTcp(sched, budget, beginning.discovery)),
+      platform_(net::listenTcp(sched, budget, beginning.platform)), caps_(beginning.stageCaps),
       work_(beginning.work), seed_(beginning.seed), released_(beginning.build), build_(beginning.build),
       stage_(static_cast<int>(caps_.size()) - 1), since_(sched.now()) {
   for (const auto &[name, at] : beginning.nodes) start(name, at, build_, false, 0);
@@ -223,9 +223,9 @@
 
 net::Task<> Fleet::httpDoor(net::Socket &listener, Handler handler) {
   for (;;) {
-    auto socket = net::acceptNow(sched_, budget_, listener);
+    auto socket = net::tryAccept(sched_, budget_, listener);
     if (!socket)
-      co_await listener.readable({});
+      co_await listener.waitReadable({});
     else
       sched_.spawn(httpSession(std::move(*socket), handler));
   }
--- a/lab/node.cpp
+++ b/lab/node.cpp
@@ -16,7 +16,7 @@
                            bool cold)
     : sched_(sched), budget_(budget), at_(at), name_(std::move(name)), build_(build), work_(work),
       ledger_(ledger), chance_(seed) {
-  listener_ = net::listenAt(sched_, budget_, at_);
+  listener_ = net::listenTcp(sched_, budget_, at_);
   at_ = net::localAddress(*listener_);
   if (cold && work_.warmupTime > 0) started_ = sched_.now();
   stop_ = std::make_shared<sched::CancellationToken>();
@@ -35,7 +35,7 @@
   const bool crashed = trouble.crashed;
   trouble = {};
   if (!crashed) return;
-  listener_ = net::listenAt(sched_, budget_, at_);
+  listener_ = net::listenTcp(sched_, budget_, at_);
   if (work_.warmupTime > 0) started_ = sched_.now();
   stop_ = std::make_shared<sched::CancellationToken>();
   sched_.spawn(accept(stop_));
@@ -92,13 +92,13 @@
 
 net::Task<> EmulatedNode::accept(std::shared_ptr<sched::CancellationToken> stop) {
   while (!stop->isCancelled()) {
-    auto socket = net::acceptNow(sched_, budget_, *listener_);
+    auto socket = net::tryAccept(sched_, budget_, *listener_);
     if (socket) {
       sched_.spawn(session(std::move(*socket), stop));
       continue;
     }
     const net::Deadline until{sched::kNever, stop.get()};
-    const auto cause = co_await listener_->readable(until);
+    const auto cause = co_await listener_->waitReadable(until);
     if (cause == net::ErrorCode::cancelled) co_return;
   }
 }
--- a/lab/pipelines.cpp
+++ b/lab/pipelines.cpp
@@ -152,7 +152,7 @@
   };
   sched.spawn(body());
   sched.run();
-  sched.endAll();
+  sched.destroyAllTasks();
   std::sort(out.tookMs.begin(), out.tookMs.end());
   return out;
 }
--- a/lab/process.cpp
+++ b/lab/process.cpp
@@ -70,7 +70,7 @@
       co_return log_->all.substr(begin + 1, end - begin - 1);
     }
     if (!runs()) co_return "";
-    const net::Deadline soon{std::min(until.at, sched_.now() + 100'000'000), until.stop};
+    const net::Deadline soon{std::min(until.at, sched_.now() + 100'000'000), until.cancellation};
     co_await sched_.wait(log_->more, soon);
     if (sched_.now() >= until.at) co_return "";
   }
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -88,7 +88,7 @@
   fleet_->listsNothing = !scenario.listed;
   if (scenario.named) dns_ = std::make_unique<DnsServer>(sched_, budget_);
   marshals_.resize(static_cast<std::size_t>(scenario.marshals));
-  sched_.onThrow = [this](const char *what) { failure_ = what, sched_.halt(); };
+  sched_.onUncaughtException = [this](const char *what) { failure_ = what, sched_.halt(); };
 }
 
 std::string Play::path(const char *what, std::size_t number) const {
@@ -411,7 +411,7 @@
   sched_.run();
   if (!failure_.empty()) throw std::runtime_error(failure_);
   auto out = report();
-  sched_.endAll();
+  sched_.destroyAllTasks();
   return out;
 }
 
--- a/lab/starts.cpp
+++ b/lab/starts.cpp
@@ -70,9 +70,10 @@
   sched::Scheduler sched;
   net::DescriptorBudget budget(10'000);
   std::ostringstream lines;
-  log::Logs logs(lines, log::Form::text, {log::Level::error, {}});
+  log::Logs logs(lines, log::Format::text, {log::Level::error, {}});
   const auto begun = sched.now();
-  Crowd with(sched, budget, true, logs.of("names")), without(sched, budget, false, logs.of("names"));
+  Crowd with(sched, budget, true, logs.forPackage("names")),
+      without(sched, budget, false, logs.forPackage("names"));
   sched.spawn(waitFor(sched, kMinute));
   sched.run();
   fmt::print(
@@ -80,7 +81,7 @@
       kMarshals, kServers, kTtl);
   with.print("with jitter", begun);
   without.print("without jitter", begun);
-  sched.endAll();
+  sched.destroyAllTasks();
   return 0;
 }
 
--- a/lab/toy_fleet.cpp
+++ b/lab/toy_fleet.cpp
@@ -37,7 +37,7 @@
   try {
     const auto station = bootstrap::readStation(bootstrap::readFile(argv[1]));
     sched::Scheduler sched;
-    sched.onThrow = [](const char *what) { std::cerr << "toy_fleet: " << what << '\n'; };
+    sched.onUncaughtException = [](const char *what) { std::cerr << "toy_fleet: " << what << '\n'; };
     net::DescriptorBudget budget(1000);
     lab::Fleet fleet(sched, budget, beginningOf(station));
     std::cout << "discovery at " << fleet.discovery() << ", platform at " << fleet.platform() << std::endl;
--- a/src/admin/metrics_server.cpp
+++ b/src/admin/metrics_server.cpp
@@ -14,15 +14,15 @@
 
 MetricsServer::MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget,
                              prometheus::Registry &registry, net::Address at)
-    : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenAt(sched, budget, at)) {}
+    : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenTcp(sched, budget, at)) {}
 
 net::Task<> MetricsServer::accept() {
   for (;;) {
-    auto socket = net::acceptNow(sched_, budget_, *listener_);
+    auto socket = net::tryAccept(sched_, budget_, *listener_);
     if (socket && open_ < kMostOpen)
       sched_.spawn(serve(std::move(*socket)));
     else if (!socket)
-      co_await listener_->readable({sched_.now() + kWithin, nullptr});
+      co_await listener_->waitReadable({sched_.now() + kWithin, nullptr});
   }
 }
 
@@ -47,7 +47,7 @@
              "\r\nContent-Type: text/plain; version=0.0.4\r\nConnection: close\r\nContent-Length: " +
              std::to_string(body.size()) + "\r\n\r\n" + body;
   const auto written = co_await socket->write(out, until);
-  if (written == net::ErrorCode::none) socket->endWriting();
+  if (written == net::ErrorCode::none) socket->shutdownWrite();
 }
 
 } // namespace myrtlehead::admin
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -61,7 +61,7 @@
 int serve(Words &words) {
   if (!words.log.empty()) words.paths.logLevels = levelsOf(words.log);
   if (!words.logForm.empty())
-    words.paths.logForm = words.logForm == "json" ? log::Form::json : log::Form::text;
+    words.paths.logForm = words.logForm == "json" ? log::Format::json : log::Format::text;
   if (words.paths.configuration.empty())
     throw CLI::RequiredError("--config, or PROXY_CONFIG in the environment,");
   app::serve(words.paths);
@@ -80,7 +80,7 @@
   const auto within = settings::parseDuration(words.within);
   if (!within) throw CLI::ValidationError("--within", "'" + words.within + "' is no duration such as 5s");
   return app::resolve(words.names, servers, *within, words.output == "json",
-                          levelsOf(words.log.empty() ? "error" : words.log));
+                      levelsOf(words.log.empty() ? "error" : words.log));
 }
 
 } // namespace
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -86,14 +86,15 @@
   for (const auto &name : asked) naming.sets.push_back({name, -1, -1});
   sched::Scheduler sched;
   net::DescriptorBudget budget(512);
-  log::Logs logs(STDERR_FILENO, log::Form::text, std::move(levels));
+  log::Logs logs(STDERR_FILENO, log::Format::text, std::move(levels));
   prometheus::Registry registry;
   dns_discovery::DnsMetrics counters(registry);
   endpoint_merge::EndpointMerge sources(naming.prudence, naming.resolution.staleMost, 0,
                                         subsetting::Subset(1, 0, 0));
   std::random_device device;
   dns_discovery::DnsDiscovery names(sched, budget, sources, naming,
-                                    (std::uint64_t{device()} << 32) | device(), logs.of("names"), counters);
+                                    (std::uint64_t{device()} << 32) | device(), logs.forPackage("names"),
+                                    counters);
   names.changed = [&] { sources.merged(sched.now()); };
   sched.spawn(names.run(false));
   sched.spawn(wait(sched, names, sched.now() + within));
@@ -107,7 +108,7 @@
     fmt::print("{}\n", out.dump(2));
   else
     print(out);
-  sched.endAll();
+  sched.destroyAllTasks();
   return known ? 0 : 1;
 }
 
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -94,7 +94,7 @@
                      {{"why", settings::text(parts.paths.settings, read.faults.front())}});
   const auto rest = settings::needsRestart(parts.installed, read.installation);
   if (!rest.empty()) log.warning("needs a restart to take up", {{"fields", rest}});
-  if (!parts.paths.logLevels) parts.logs.take(read.installation.levels);
+  if (!parts.paths.logLevels) parts.logs.setLevels(read.installation.levels);
   if (parts.names != nullptr) parts.names->serversMoved(read.installation.naming.servers);
 }
 
@@ -124,7 +124,7 @@
     signalfd_siginfo info{};
     const auto got = read(signals.fd(), &info, sizeof info);
     if (got != sizeof info) {
-      co_await signals.readable({});
+      co_await signals.waitReadable({});
     } else if (info.ssi_signo == SIGHUP) {
       wish.open = true;
       wish.made.notify();
@@ -177,10 +177,13 @@
   if (paths.logLevels) installation.levels = *paths.logLevels;
   if (paths.logForm) installation.form = *paths.logForm;
   log::Logs logs(STDERR_FILENO, installation.form, installation.levels);
-  log::Log log = logs.of("program"), guardLog = logs.of("guard"), catalogLog = logs.of("catalog"),
-           platformLog = logs.of("platform"), nodesLog = logs.of("nodes"), clientsLog = logs.of("clients");
+  log::Log log = logs.forPackage("program"), guardLog = logs.forPackage("guard"),
+           catalogLog = logs.forPackage("catalog"), platformLog = logs.forPackage("platform"),
+           nodesLog = logs.forPackage("nodes"), clientsLog = logs.forPackage("clients");
   sched::Scheduler sched;
-  sched.onThrow = [&](const char *what) { log.error("a coroutine ended early", {{"what", what}}); };
+  sched.onUncaughtException = [&](const char *what) {
+    log.error("a coroutine ended early", {{"what", what}});
+  };
   constexpr int kOwn = 8; // standard streams, epoll, and what the library opens
   net::DescriptorBudget budget(descriptorsAllowed(station.descriptors) - kOwn);
   Router router(sched, station.deployment, station.seed, guardLog);
@@ -193,7 +196,8 @@
       station.memory / 8); // what a large answer takes in all is below three times it
   std::unique_ptr<NamesPart> names;
   if (!installation.naming.sets.empty())
-    names = std::make_unique<NamesPart>(sched, budget, router, station, installation, logs.of("names"));
+    names = std::make_unique<NamesPart>(sched, budget, router, station, installation,
+                                        logs.forPackage("names"));
   std::unique_ptr<admin::MetricsServer> endpoint;
   prometheus::Registry none;
   if (installation.metrics)
@@ -217,7 +221,7 @@
     for (const auto &r : station.deployment.routes) routes.kinds.push_back(r.idempotency);
     fleet = std::make_unique<cluster::ClusterMember>(
         sched, budget, router, pool, *installation.fleet, std::move(routes), station.routeTimeouts,
-        unixAtZero(sched.now()), station.seed + 5, logs.of("fleet"));
+        unixAtZero(sched.now()), station.seed + 5, logs.forPackage("fleet"));
   }
   downstream::Listener door(sched, budget, router, pool, clientsLog, station.listen, station.routes,
                             station.routeTimeouts,
@@ -248,7 +252,7 @@
            {{"name", station.name}, {"routes", station.routes.size()}, {"at", net::text(door.address())}});
   sched.run();
   if (names) names->names.saveNow();
-  sched.endAll(); // before what the coroutines refer to
+  sched.destroyAllTasks(); // before what the coroutines refer to
 }
 
 } // namespace myrtlehead::app
--- a/src/app/serve.h
+++ b/src/app/serve.h
@@ -12,7 +12,7 @@
   std::string configuration;            // the platform's JSON
   std::string settings;                 // the installation's TOML; "": none
   std::optional<log::Levels> logLevels; // of the command line, before those of the settings
-  std::optional<log::Form> logForm;
+  std::optional<log::Format> logForm;
 };
 
 // Throws what keeps it from serving (SetupError, std::system_error), with a sentence for whoever started it.
--- a/src/app/settings/settings.cpp
+++ b/src/app/settings/settings.cpp
@@ -17,7 +17,7 @@
            return levels.has_value();
          });
   r.word("form", "text or json", [&](const std::string &text) {
-    out.form = text == "json" ? log::Form::json : log::Form::text;
+    out.form = text == "json" ? log::Format::json : log::Format::text;
     return text == "json" || text == "text";
   });
 }
--- a/src/app/settings/settings.h
+++ b/src/app/settings/settings.h
@@ -15,7 +15,7 @@
 
 struct Settings {
   log::Levels levels;
-  log::Form form = log::Form::text;
+  log::Format form = log::Format::text;
   std::optional<net::Address> metrics; // where they are asked for
   std::string stateFolder;             // "": nothing is kept
   dns_discovery::DnsSettings naming;
--- a/src/base/http_client/persistent_connection.cpp
+++ b/src/base/http_client/persistent_connection.cpp
@@ -16,7 +16,7 @@
 void PersistentConnection::leave() {
   if (connection_ == nullptr) return;
   connection_->left = true;
-  if (connection_->pending.empty() || connection_->overdue) connection_->socket->shutDown();
+  if (connection_->pending.empty() || connection_->overdue) connection_->socket->shutdown();
   connection_ = nullptr;
 }
 
@@ -37,7 +37,7 @@
 // The new connection takes the place of the old one.
 net::Task<ErrorCode> PersistentConnection::open(net::Deadline until) {
   const auto moved = moved_;
-  until.stop = moved.get();
+  until.cancellation = moved.get();
   auto connected = co_await net::connect(sched_, budget_, to_, until);
   if (moved->isCancelled()) co_return ErrorCode::cancelled;
   if (!connected) co_return connected.failure().cause;
@@ -75,7 +75,7 @@
   const auto written = co_await c->socket->write(request, until);
   if (written != ErrorCode::none) {
     c->ended = true; // half a call stands on it, and whoever reads there waits for nothing
-    c->socket->shutDown();
+    c->socket->shutdown();
     closed_.notify();
     co_return Failure{written, SendProgress::partlyWritten};
   }
@@ -83,7 +83,7 @@
     // An answer may have come in the very round in which its time was up.
     if (co_await sched_.wait(pending->over, until) != sched::WakeReason::notified && !pending->ended) {
       c->overdue = true;
-      if (c->left) c->socket->shutDown();
+      if (c->left) c->socket->shutdown();
       co_return Failure{ErrorCode::timedOut, SendProgress::fullyWritten};
     }
   if (pending->failure.cause != ErrorCode::none) co_return pending->failure;
--- a/src/base/log/log.cpp
+++ b/src/base/log/log.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t kMostLine = 2000; // a pipe that polls writable takes this much at once
+constexpr std::size_t kMaxLineBytes = 2000; // a pipe that polls writable takes this much at once
 
 spdlog::level::level_enum spdlogLevel(Level level) {
   switch (level) {
@@ -32,17 +32,17 @@
   return spdlog::level::err;
 }
 
-const char *word(Level level) {
-  constexpr const char *kWords[] = {"debug", "info", "warning", "error"};
-  return kWords[static_cast<int>(level)];
+const char *levelName(Level level) {
+  constexpr const char *kNames[] = {"debug", "info", "warning", "error"};
+  return kNames[static_cast<int>(level)];
 }
 
 std::string quoted(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// A word that reads the same without quotes stands without them.
-bool plain(std::string_view text) {
+// Whether a text reads the same without quotes: then it is written without them.
+bool needsNoQuotes(std::string_view text) {
   return !text.empty() && text.find_first_of(" \"=\\") == std::string_view::npos &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 0x20 && c < 0x7f; });
 }
@@ -50,37 +50,40 @@
 void addValue(fmt::memory_buffer &out, const Field &field, bool json) {
   auto to = fmt::appender(out);
   switch (field.kind) {
-  case Field::whole:
-    fmt::format_to(to, "{}", field.number);
+  case Field::integer:
+    fmt::format_to(to, "{}", field.whole);
     break;
   case Field::real:
-    fmt::format_to(to, "{:.6g}", field.figure);
+    fmt::format_to(to, "{:.6g}", field.fraction);
     break;
-  case Field::truth:
-    fmt::format_to(to, "{}", field.number != 0);
+  case Field::boolean:
+    fmt::format_to(to, "{}", field.whole != 0);
     break;
-  case Field::words:
-    if (!json && plain(field.text))
-      out.append(field.text);
+  case Field::text:
+    if (!json && needsNoQuotes(field.string))
+      out.append(field.string);
     else
-      out.append(quoted(field.text));
+      out.append(quoted(field.string));
   }
 }
 
-// Passes whole lines to a descriptor, and drops them (counted) where the reader is behind: the instance must
-// not stand still with it.
-class Patient final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+// Writes complete lines to a descriptor, and drops (and counts) them where the reader is behind: the process
+// must never be blocked by it.
+class NonBlockingSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
-  explicit Patient(int fd) : fd_(fd) {}
-  unsigned long dropped() const { return all_; }
+  explicit NonBlockingSink(int fd) : fd_(fd) {}
+  unsigned long droppedLines() const { return totalDropped_; }
 
 protected:
   void sink_it_(const spdlog::details::log_msg &msg) override {
-    if (untold_ > 0) {
-      const auto lost = fmt::format("{} log lines dropped, the reader is behind\n", untold_);
-      if (send(lost)) untold_ = 0;
+    if (unreportedDropped_ > 0) {
+      const auto notice = fmt::format("{} log lines dropped, the reader is behind\n", unreportedDropped_);
+      if (send(notice)) unreportedDropped_ = 0;
+    }
+    if (unreportedDropped_ > 0 || !send({msg.payload.data(), msg.payload.size()})) {
+      ++unreportedDropped_;
+      ++totalDropped_;
     }
-    if (untold_ > 0 || !send({msg.payload.data(), msg.payload.size()})) ++untold_, ++all_;
   }
   void flush_() override {}
 
@@ -91,12 +94,13 @@
     return ::write(fd_, line.data(), line.size()) == static_cast<ssize_t>(line.size());
   }
   int fd_;
-  unsigned long untold_ = 0, all_ = 0;
+  unsigned long unreportedDropped_ = 0; // since the reader was last told
+  unsigned long totalDropped_ = 0;
 };
 
-class ToStream final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+class StreamSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
-  explicit ToStream(std::ostream &out) : out_(out) {}
+  explicit StreamSink(std::ostream &out) : out_(out) {}
 
 protected:
   void sink_it_(const spdlog::details::log_msg &msg) override {
@@ -111,14 +115,14 @@
 } // namespace
 
 struct Log::Sink {
-  Sink(std::shared_ptr<spdlog::sinks::sink> to, Form f) : logger("myrtlehead", std::move(to)), form(f) {
+  Sink(std::shared_ptr<spdlog::sinks::sink> to, Format f) : logger("myrtlehead", std::move(to)), format(f) {
     logger.set_level(spdlog::level::trace); // the packages' own levels decide
   }
   spdlog::logger logger;
-  Form form;
-  std::shared_ptr<Patient> patient;
+  Format format;
+  std::shared_ptr<NonBlockingSink> descriptorSink; // none where the lines go to a stream
   Levels levels;
-  std::map<std::string, Level, std::less<>> least; // by package
+  std::map<std::string, Level, std::less<>> minimums; // by package; logs refer to them
 };
 
 std::optional<Level> parseLevel(std::string_view word) {
@@ -129,10 +133,10 @@
   return std::nullopt;
 }
 
-Level Levels::of(std::string_view package) const {
+Level Levels::levelOf(std::string_view package) const {
   for (const auto &[name, level] : byPackage)
     if (name == package) return level;
-  return least;
+  return defaultLevel;
 }
 
 std::optional<Levels> parseLevels(std::string_view text) {
@@ -145,7 +149,7 @@
     const auto level = parseLevel(eq == std::string_view::npos ? item : item.substr(eq + 1));
     if (!level) return std::nullopt;
     if (eq == std::string_view::npos)
-      out.least = *level;
+      out.defaultLevel = *level;
     else
       out.byPackage.emplace_back(item.substr(0, eq), *level);
   }
@@ -153,7 +157,7 @@
 }
 
 void Log::write(Level level, std::string_view message, Fields fields) const {
-  const bool json = sink_->form == Form::json;
+  const bool json = sink_->format == Format::json;
   const auto now = std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
   const auto ms = now.time_since_epoch().count() % 1000;
   const auto second = fmt::gmtime(std::chrono::system_clock::to_time_t(now));
@@ -161,16 +165,16 @@
   auto to = fmt::appender(out);
   if (json)
     fmt::format_to(to, R"({{"time":"{:%FT%T}.{:03}Z","level":"{}","package":"{}","message":{})", second, ms,
-                   word(level), package_, quoted(message));
+                   levelName(level), package_, quoted(message));
   else
-    fmt::format_to(to, "{:%FT%T}.{:03}Z {} {}: {}", second, ms, word(level), package_, message);
+    fmt::format_to(to, "{:%FT%T}.{:03}Z {} {}: {}", second, ms, levelName(level), package_, message);
   for (const auto &field : fields) {
     fmt::format_to(to, fmt::runtime(json ? ",\"{}\":" : " {}="), field.name);
     addValue(out, field, json);
   }
   if (json) out.push_back('}');
-  if (out.size() >= kMostLine) {
-    out.resize(kMostLine - 5);
+  if (out.size() >= kMaxLineBytes) {
+    out.resize(kMaxLineBytes - 5);
     out.append(json ? std::string_view("\"}") : std::string_view("..."));
   }
   for (auto &c : out)
@@ -179,31 +183,34 @@
   sink_->logger.log(spdlogLevel(level), spdlog::string_view_t(out.data(), out.size()));
 }
 
-Logs::Logs(int fd, Form form, Levels levels) {
-  auto patient = std::make_shared<Patient>(fd);
-  sink_ = std::make_shared<Log::Sink>(patient, form);
-  sink_->patient = patient;
+Logs::Logs(int fd, Format format, Levels levels) {
+  auto sink = std::make_shared<NonBlockingSink>(fd);
+  sink_ = std::make_shared<Log::Sink>(sink, format);
+  sink_->descriptorSink = sink;
   sink_->levels = std::move(levels);
 }
 
-Logs::Logs(std::ostream &out, Form form, Levels levels)
-    : sink_(std::make_shared<Log::Sink>(std::make_shared<ToStream>(out), form)) {
+Logs::Logs(std::ostream &out, Format format, Levels levels)
+    : sink_(std::make_shared<Log::Sink>(std::make_shared<StreamSink>(out), format)) {
   sink_->levels = std::move(levels);
 }
 
-Log Logs::of(std::string_view package) const {
+Log Logs::forPackage(std::string_view package) const {
+  const auto level = sink_->levels.levelOf(package);
   Log out;
   out.sink_ = sink_;
   out.package_ = package;
-  out.least_ = &sink_->least.insert_or_assign(std::string(package), sink_->levels.of(package)).first->second;
+  out.minimum_ = &sink_->minimums.insert_or_assign(std::string(package), level).first->second;
   return out;
 }
 
-void Logs::take(Levels levels) {
+void Logs::setLevels(Levels levels) {
   sink_->levels = std::move(levels);
-  for (auto &[package, least] : sink_->least) least = sink_->levels.of(package);
+  for (auto &[package, minimum] : sink_->minimums) minimum = sink_->levels.levelOf(package);
 }
 
-unsigned long Logs::dropped() const { return sink_->patient != nullptr ? sink_->patient->dropped() : 0; }
+unsigned long Logs::droppedLines() const {
+  return sink_->descriptorSink != nullptr ? sink_->descriptorSink->droppedLines() : 0;
+}
 
 } // namespace myrtlehead::log
--- a/src/base/net/descriptor_budget.h
+++ b/src/base/net/descriptor_budget.h
@@ -1,5 +1,5 @@
-// The budget of open descriptors. Clients may not take the last of them: endpoints and control connections go
-// first.
+// The budget of open descriptors. Clients may not use the last of them: endpoints and control connections go
+// first. Each Socket acquires one for as long as it exists.
 #pragma once
 
 #include "base/sched/scheduler.h"
@@ -8,18 +8,20 @@
 
 class DescriptorBudget {
 public:
-  explicit DescriptorBudget(int most) : most_(most) {}
-  int left() const { return most_ - used_; }
-  int most() const { return most_; }
-  void take() { ++used_; }
-  void give() {
+  explicit DescriptorBudget(int limit) : limit_(limit) {}
+  // May be negative: acquire() does not ask.
+  int available() const { return limit_ - used_; }
+  int limit() const { return limit_; }
+  void acquire() { ++used_; }
+  void release() {
     --used_;
-    freed.notify();
+    released.notify();
   }
-  sched::Event freed;
+  sched::Event released;
 
 private:
-  int most_, used_ = 0;
+  int limit_;
+  int used_ = 0;
 };
 
 } // namespace myrtlehead::net
--- a/src/base/net/result.h
+++ b/src/base/net/result.h
@@ -21,10 +21,29 @@
 // How far an attempt had come when it failed.
 enum class SendProgress { notConnected, partlyWritten, fullyWritten, responseStarted };
 
-inline const char *word(ErrorCode c) {
-  constexpr const char *kWords[] = {"none",    "timed out", "stopped",    "ended by the other side", "broken",
-                                    "refused", "too big",   "unreadable", "no descriptor left"};
-  return kWords[static_cast<int>(c)];
+// The words of the log.
+inline const char *word(ErrorCode code) {
+  switch (code) {
+  case ErrorCode::none:
+    return "none";
+  case ErrorCode::timedOut:
+    return "timed out";
+  case ErrorCode::cancelled:
+    return "cancelled";
+  case ErrorCode::closedByPeer:
+    return "closed by peer";
+  case ErrorCode::connectionLost:
+    return "connection lost";
+  case ErrorCode::refused:
+    return "refused";
+  case ErrorCode::tooLarge:
+    return "too large";
+  case ErrorCode::unreadable:
+    return "unreadable";
+  case ErrorCode::noDescriptorLeft:
+    return "no descriptor left";
+  }
+  return "";
 }
 
 struct Failure {
@@ -32,17 +51,19 @@
   SendProgress progress = SendProgress::notConnected;
 };
 
+// A value, or why there is none. failure() may be asked only where it is false, the value only where it is
+// true.
 template <class T> class [[nodiscard]] Result {
 public:
-  Result(T value) : held_(std::move(value)) {}
-  Result(Failure failure) : held_(failure) {}
-  explicit operator bool() const { return held_.index() == 0; }
-  T &operator*() { return std::get<0>(held_); }
-  T *operator->() { return &std::get<0>(held_); }
-  const Failure &failure() const { return std::get<1>(held_); }
+  Result(T value) : content_(std::move(value)) {}
+  Result(Failure failure) : content_(failure) {}
+  explicit operator bool() const { return content_.index() == 0; }
+  T &operator*() { return std::get<0>(content_); }
+  T *operator->() { return &std::get<0>(content_); }
+  const Failure &failure() const { return std::get<1>(content_); }
 
 private:
-  std::variant<T, Failure> held_;
+  std::variant<T, Failure> content_;
 };
 
 } // namespace myrtlehead::net
--- a/src/base/net/socket.h
+++ b/src/base/net/socket.h
@@ -20,38 +20,48 @@
 
 // An IPv4 or IPv6 address with its port.
 struct Address {
-  sockaddr_in6 at{}; // a sockaddr_in stands in its place where the family says so
-  Address() { at.sin6_family = AF_INET; }
-  const sockaddr *raw() const { return reinterpret_cast<const sockaddr *>(&at); }
-  sockaddr *raw() { return reinterpret_cast<sockaddr *>(&at); }
-  socklen_t size() const { return v6() ? sizeof(sockaddr_in6) : sizeof(sockaddr_in); }
-  bool v6() const { return at.sin6_family == AF_INET6; }
-  std::uint16_t port() const { return ntohs(at.sin6_port); } // it stands at the same place in both
-  bool operator==(const Address &o) const;
+  sockaddr_in6 storage{}; // of a sockaddr_in, where the family is AF_INET
+  Address() { storage.sin6_family = AF_INET; }
+  const sockaddr *asSockaddr() const { return reinterpret_cast<const sockaddr *>(&storage); }
+  sockaddr *asSockaddr() { return reinterpret_cast<sockaddr *>(&storage); }
+  socklen_t size() const { return isV6() ? sizeof(sockaddr_in6) : sizeof(sockaddr_in); }
+  bool isV6() const { return storage.sin6_family == AF_INET6; }
+  std::uint16_t port() const { return ntohs(storage.sin6_port); } // at the same offset in both families
+  bool operator==(const Address &other) const;
 };
-std::optional<Address> parseAddress(std::string_view text); // "10.1.0.18:6432", "[fd00::12]:6432"
+// "10.1.0.18:6432" or "[fd00::12]:6432"; nullopt where it is neither.
+std::optional<Address> parseAddress(std::string_view text);
 std::string text(const Address &address);
 
-// One descriptor, known to the scheduler and the budget for as long as it lives.
+// One non-blocking descriptor, registered with the scheduler and counted by the budget for as long as it
+// exists.
 class Socket final : private sched::DescriptorObserver {
 public:
+  // Takes over `fd`, and closes it.
   Socket(Scheduler &sched, DescriptorBudget &budget, int fd);
   ~Socket();
   Socket(const Socket &) = delete;
   Socket &operator=(const Socket &) = delete;
 
-  // At least one byte more in `into`.
-  Task<ErrorCode> read(Buffer &into, Deadline until);
-  Task<ErrorCode> write(std::string_view bytes, Deadline until); // all of them
-  Task<ErrorCode> readable(Deadline until);
-  ErrorCode readNow(Buffer &into);       // timedOut: nothing there
-  bool writeNow(std::string_view bytes); // all of them, without waiting
-  bool quiet() const;                    // open, with nothing to read
-  void onHangUp(sched::CancellationToken *stop);
-  void endWriting();
-  void shutDown(); // whoever reads or writes here sees its end
+  // Appends at least one byte to `into`.
+  Task<ErrorCode> read(Buffer &into, Deadline deadline);
+  // Writes all bytes; they must stay valid until it returns.
+  Task<ErrorCode> write(std::string_view bytes, Deadline deadline);
+  Task<ErrorCode> waitReadable(Deadline deadline);
+  // One read without waiting; timedOut: there is nothing to read.
+  ErrorCode tryRead(Buffer &into);
+  // Whether all bytes could be written without waiting.
+  bool tryWrite(std::string_view bytes);
+  // Whether the other side has it open, and there is nothing to read.
+  bool isQuiet() const;
+  // Cancels `token` once the other side has closed its end; nullptr: no longer.
+  void cancelOnHangUp(sched::CancellationToken *token);
+  // The other side reads the end of the stream behind what has been written.
+  void shutdownWrite();
+  // Whoever reads or writes here sees the end of the stream.
+  void shutdown();
   int fd() const { return fd_; }
-  std::size_t written() const { return written_; } // bytes in all
+  std::size_t bytesWritten() const { return bytesWritten_; } // in all
 
 private:
   friend Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &, DescriptorBudget &, Address, Deadline);
@@ -59,25 +69,30 @@
   Scheduler &sched_;
   DescriptorBudget &budget_;
   int fd_;
-  sched::Event readable_, writable_;
-  sched::CancellationToken *onHangUp_ = nullptr;
-  bool hungUp_ = false, stream_ = false;
-  bool mayRead_ = true; // something has come since the last read that took all
-  std::size_t written_ = 0;
+  sched::Event readable_;
+  sched::Event writable_;
+  sched::CancellationToken *hangUpToken_ = nullptr;
+  bool isHungUp_ = false;
+  bool isStream_ = false;
+  bool isReadReady_ = true; // something may have arrived since the last read that took all
+  std::size_t bytesWritten_ = 0;
 };
 
+// A TCP connection to `to`.
 Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &sched, DescriptorBudget &budget, Address to,
-                                              Deadline until);
+                                              Deadline deadline);
 
-// Throws std::system_error where the address can't be had: the program then can't serve.
-std::unique_ptr<Socket> listenAt(Scheduler &sched, DescriptorBudget &budget, Address at);
-std::unique_ptr<Socket> datagramsAt(Scheduler &sched, DescriptorBudget &budget, Address at);
-// A datagram socket that hears `to` alone, at a port that the system draws. nullptr: no descriptor, or no way
-// there.
-std::unique_ptr<Socket> datagramsTo(Scheduler &sched, DescriptorBudget &budget, Address to);
+// Throw std::system_error where the address can't be bound: the program then can't serve.
+std::unique_ptr<Socket> listenTcp(Scheduler &sched, DescriptorBudget &budget, Address address);
+std::unique_ptr<Socket> bindUdp(Scheduler &sched, DescriptorBudget &budget, Address address);
+// A datagram socket that receives from `to` alone, at a port that the system draws. nullptr: no descriptor is
+// left, or there is no route.
+std::unique_ptr<Socket> connectUdp(Scheduler &sched, DescriptorBudget &budget, Address to);
+// The address to which a socket is bound.
 Address localAddress(const Socket &socket);
 
-// A connection, or a descriptor shortage of the machine's (none there: timedOut).
-Result<std::unique_ptr<Socket>> acceptNow(Scheduler &sched, DescriptorBudget &budget, Socket &listener);
+// A connection that waits in the backlog, without waiting for one. timedOut: there is none;
+// noDescriptorLeft: the system is short of descriptors; connectionLost: it has ended already.
+Result<std::unique_ptr<Socket>> tryAccept(Scheduler &sched, DescriptorBudget &budget, Socket &listener);
 
 } // namespace myrtlehead::net
--- a/src/base/sched/scheduler.cpp
+++ b/src/base/sched/scheduler.cpp
@@ -10,56 +10,67 @@
 
 namespace myrtlehead::sched {
 
-void Hook::leave() {
-  prev->next = next;
-  next->prev = prev;
-  prev = next = this;
+namespace {
+
+constexpr std::size_t kMaxEventsPerPoll = 256;
+constexpr Nanoseconds kNanosecondsPerSecond = 1'000'000'000;
+constexpr Nanoseconds kNanosecondsPerMillisecond = 1'000'000;
+constexpr Nanoseconds kMaxPollTime = 60 * kNanosecondsPerSecond; // epoll takes milliseconds as an int
+
+} // namespace
+
+void WaitListNode::unlink() {
+  previous->next = next;
+  next->previous = previous;
+  previous = this;
+  next = this;
 }
 
-void Hook::join(Hook &ring) {
-  leave();
-  prev = ring.prev;
-  next = &ring;
-  ring.prev->next = this;
-  ring.prev = this;
+void WaitListNode::appendTo(WaitListNode &list) {
+  unlink();
+  previous = list.previous;
+  next = &list;
+  list.previous->next = this;
+  list.previous = this;
 }
 
 void Event::notify() {
-  while (!ring_.alone()) ring_.next->wait->wake(WakeReason::notified);
+  while (!waiters_.isAlone()) waiters_.next->wait->wake(WakeReason::notified);
 }
 
 void CancellationToken::cancel() {
   isCancelled_ = true;
-  while (!ring_.alone()) ring_.next->wait->wake(WakeReason::cancelled);
-}
-
-void Wait::await_suspend(std::coroutine_handle<> h) {
-  coroutine_ = h;
-  if (until_.stop != nullptr && until_.stop->isCancelled()) return wake(WakeReason::cancelled);
-  if (until_.stop != nullptr) onStop_.join(until_.stop->ring_);
-  if (signal_ != nullptr) onSignal_.join(signal_->ring_);
-  if (until_.at != kNever) {
-    timer_ = sched_.timers_.emplace(until_.at, this);
-    timed_ = true;
+  while (!waiters_.isAlone()) waiters_.next->wait->wake(WakeReason::cancelled);
+}
+
+void Wait::await_suspend(std::coroutine_handle<> coroutine) {
+  coroutine_ = coroutine;
+  auto *cancellation = deadline_.cancellation;
+  if (cancellation != nullptr && cancellation->isCancelled()) return wake(WakeReason::cancelled);
+  if (cancellation != nullptr) cancellationNode_.appendTo(cancellation->waiters_);
+  if (event_ != nullptr) eventNode_.appendTo(event_->waiters_);
+  if (deadline_.at != kNever) {
+    timer_ = scheduler_.timers_.emplace(deadline_.at, this);
+    hasTimer_ = true;
   }
 }
 
-void Wait::leaveAll() {
-  onSignal_.leave();
-  onStop_.leave();
-  onReady_.leave();
-  if (timed_) sched_.timers_.erase(timer_);
-  timed_ = false;
+void Wait::unlinkAll() {
+  eventNode_.unlink();
+  cancellationNode_.unlink();
+  readyNode_.unlink();
+  if (hasTimer_) scheduler_.timers_.erase(timer_);
+  hasTimer_ = false;
 }
 
-void Wait::wake(WakeReason why) {
-  leaveAll();
-  woken_ = why;
-  onReady_.join(sched_.ready_);
+void Wait::wake(WakeReason reason) {
+  unlinkAll();
+  wakeReason_ = reason;
+  readyNode_.appendTo(scheduler_.ready_);
 }
 
 Scheduler::Scheduler(Clock clock) : clock_(clock) {
-  if (clock_ == Clock::own) return;
+  if (clock_ == Clock::simulated) return;
   epoll_ = epoll_create1(EPOLL_CLOEXEC);
   if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll");
   readClock();
@@ -71,34 +82,34 @@
 }
 
 void Scheduler::readClock() {
-  if (clock_ == Clock::own) return;
-  timespec t{};
-  clock_gettime(CLOCK_MONOTONIC, &t);
-  now_ = t.tv_sec * Nanoseconds{1'000'000'000} + t.tv_nsec;
+  if (clock_ == Clock::simulated) return;
+  timespec time{};
+  clock_gettime(CLOCK_MONOTONIC, &time);
+  now_ = time.tv_sec * kNanosecondsPerSecond + time.tv_nsec;
 }
 
-Task<> Scheduler::root(Task<> task, std::list<Task<>>::iterator *self) {
-  const auto me = *self; // read before the first wait
+Task<> Scheduler::runRoot(Task<> task, std::list<Task<>>::iterator *self) {
+  const auto own = *self; // read before the first wait: it stands on the caller's stack
   co_await sleep(0);
   try {
     co_await task;
   } catch (const std::exception &e) {
-    if (onThrow) onThrow(e.what());
+    if (onUncaughtException) onUncaughtException(e.what());
   }
-  ended_.push_back(me);
+  finishedRoots_.push_back(own);
 }
 
 void Scheduler::spawn(Task<> task) {
   auto at = roots_.end();
-  roots_.push_back(root(std::move(task), &at));
+  roots_.push_back(runRoot(std::move(task), &at));
   at = std::prev(roots_.end());
   at->start();
 }
 
-void Scheduler::watch(int fd, DescriptorObserver &watched) {
+void Scheduler::watch(int fd, DescriptorObserver &observer) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.ptr = &watched;
+  event.data.ptr = &observer;
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0)
     throw std::system_error(errno, std::generic_category(), "epoll");
 }
@@ -108,57 +119,61 @@
   epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, &ignored);
 }
 
-// Guards against timing out what has already arrived while this process stood still: descriptors are read
-// before the clocks.
+// Guards against timing out what has already arrived while this process was not running: descriptors are
+// polled before timers expire.
 void Scheduler::run() {
-  while (!halted_) {
+  while (!isHalted_) {
     poll();
-    expire();
+    expireTimers();
     resumeReady();
-    for (const auto &it : ended_) roots_.erase(it);
-    ended_.clear();
+    for (const auto &root : finishedRoots_) roots_.erase(root);
+    finishedRoots_.clear();
   }
 }
 
-// No coroutine runs in here, so nothing that an event points to can go away.
+// No coroutine is resumed or destroyed in here, so each event's observer still exists.
 void Scheduler::poll() {
-  if (clock_ == Clock::own) {
-    if (ready_.alone() && !timers_.empty()) now_ = std::max(now_, timers_.begin()->first);
-    halted_ = halted_ || (ready_.alone() && timers_.empty());
-    return;
-  }
-  std::array<epoll_event, 256> events;
-  int timeout = -1;
+  if (clock_ == Clock::simulated) return advanceSimulatedClock();
+  std::array<epoll_event, kMaxEventsPerPoll> events;
   readClock();
-  if (!ready_.alone()) {
-    timeout = 0;
-  } else if (!timers_.empty()) {
-    const Nanoseconds left = std::clamp<Nanoseconds>(timers_.begin()->first - now_, 0, 60'000'000'000);
-    timeout = static_cast<int>((left + 999'999) / 1'000'000);
-  }
-  const int n = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
+  const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), epollTimeoutMs());
   readClock();
-  for (int i = 0; i < n; ++i)
-    static_cast<DescriptorObserver *>(events[static_cast<std::size_t>(i)].data.ptr)
-        ->onEvents(events[static_cast<std::size_t>(i)].events);
+  for (int i = 0; i < count; ++i) {
+    const auto &event = events[static_cast<std::size_t>(i)];
+    static_cast<DescriptorObserver *>(event.data.ptr)->onEvents(event.events);
+  }
+}
+
+void Scheduler::advanceSimulatedClock() {
+  if (ready_.isAlone() && !timers_.empty()) now_ = std::max(now_, timers_.begin()->first);
+  isHalted_ = isHalted_ || (ready_.isAlone() && timers_.empty());
+}
+
+int Scheduler::epollTimeoutMs() const {
+  constexpr int kNoTimeout = -1;
+  if (!ready_.isAlone()) return 0;
+  if (timers_.empty()) return kNoTimeout;
+  const auto left = std::clamp<Nanoseconds>(timers_.begin()->first - now_, 0, kMaxPollTime);
+  // Rounded up, so that the timer is due when epoll_wait returns.
+  return static_cast<int>((left + kNanosecondsPerMillisecond - 1) / kNanosecondsPerMillisecond);
 }
 
-void Scheduler::expire() {
+void Scheduler::expireTimers() {
   while (!timers_.empty() && timers_.begin()->first <= now_)
     timers_.begin()->second->wake(WakeReason::timedOut);
 }
 
 // One round: what becomes ready meanwhile waits for the next, behind the descriptors.
 void Scheduler::resumeReady() {
-  Hook round;
-  while (!ready_.alone()) ready_.next->join(round);
-  while (!round.alone() && !halted_) {
+  WaitListNode round;
+  while (!ready_.isAlone()) ready_.next->appendTo(round);
+  while (!round.isAlone() && !isHalted_) {
     Wait *wait = round.next->wait;
-    wait->onReady_.leave();
+    wait->readyNode_.unlink();
     readClock();
     wait->coroutine_.resume();
   }
-  while (!round.alone()) round.next->join(ready_);
+  while (!round.isAlone()) round.next->appendTo(ready_);
 }
 
 } // namespace myrtlehead::sched
--- a/src/base/sched/scheduler.h
+++ b/src/base/sched/scheduler.h
@@ -1,5 +1,8 @@
-// The scheduler: coroutines over epoll on one thread. Each wait has an end (a signal, a time, a stop) and
-// takes itself out of every queue when its coroutine is ended.
+// The scheduler: coroutines over epoll on one thread. Each wait ends by an event, at a time or by a
+// cancellation, and unlinks itself from every queue when its coroutine is destroyed.
+//
+// Order: coroutines are resumed in the order in which they became ready. What becomes ready during a round
+// waits for the next one, behind the descriptors' events and the timers.
 #pragma once
 
 #include "base/sched/task.h"
@@ -12,38 +15,45 @@
 
 namespace myrtlehead::sched {
 
+// Durations, and times on the scheduler's clock.
 using Nanoseconds = std::int64_t;
+// The time of a deadline that never passes.
 constexpr Nanoseconds kNever = std::numeric_limits<Nanoseconds>::max();
 
 class Wait;
 class Scheduler;
 
-// A place in a ring of waits; leaves it by itself.
-struct Hook {
-  explicit Hook(Wait *w = nullptr) : wait(w) {}
-  Hook(const Hook &) = delete;
-  Hook &operator=(const Hook &) = delete;
-  ~Hook() { leave(); }
-  bool alone() const { return next == this; }
-  void leave();
-  void join(Hook &ring); // at its end
+// A node of an intrusive, circular list of waits. One without a wait is the list itself. It unlinks itself
+// when it is destroyed.
+struct WaitListNode {
+  explicit WaitListNode(Wait *w = nullptr) : wait(w) {}
+  WaitListNode(const WaitListNode &) = delete;
+  WaitListNode &operator=(const WaitListNode &) = delete;
+  ~WaitListNode() { unlink(); }
+  // Whether it is linked to no other node: of the list itself, whether that is empty.
+  bool isAlone() const { return next == this; }
+  void unlink();
+  // Moves it to the end of `list`.
+  void appendTo(WaitListNode &list);
   Wait *wait;
-  Hook *prev = this, *next = this;
+  WaitListNode *previous = this;
+  WaitListNode *next = this;
 };
 
+// Why a wait has ended.
 enum class WakeReason { notified, timedOut, cancelled };
 
-// Wakes all that wait for it at that moment.
+// An event without a state: a notification wakes all that wait at that moment, and is not kept for others.
 class Event {
 public:
   void notify();
 
 private:
   friend class Wait;
-  Hook ring_;
+  WaitListNode waiters_;
 };
 
-// A lasting request to stop what is done under it.
+// A lasting request to end what is done under it: it wakes all that wait, and each later wait at once.
 class CancellationToken {
 public:
   void cancel();
@@ -52,41 +62,46 @@
 private:
   friend class Wait;
   bool isCancelled_ = false;
-  Hook ring_;
+  WaitListNode waiters_;
 };
 
-// How long an operation may take, and what may call it off.
+// Until when an operation may take, and what may cancel it before; nullptr: nothing.
 struct Deadline {
   Nanoseconds at = kNever;
-  CancellationToken *stop = nullptr;
+  CancellationToken *cancellation = nullptr;
 };
 
+// What a coroutine awaits to be suspended until an event, a deadline or a cancellation. Always suspends once.
 class Wait {
 public:
-  Wait(Scheduler &s, Event *signal, Deadline until) : sched_(s), signal_(signal), until_(until) {}
-  ~Wait() { leaveAll(); }
+  Wait(Scheduler &scheduler, Event *event, Deadline deadline)
+      : scheduler_(scheduler), event_(event), deadline_(deadline) {}
+  ~Wait() { unlinkAll(); }
   Wait(const Wait &) = delete;
   Wait &operator=(const Wait &) = delete;
 
   bool await_ready() const { return false; }
-  void await_suspend(std::coroutine_handle<> h);
-  WakeReason await_resume() const { return woken_; }
-  void wake(WakeReason why);
+  void await_suspend(std::coroutine_handle<> coroutine);
+  WakeReason await_resume() const { return wakeReason_; }
+  // Makes the coroutine ready to be resumed.
+  void wake(WakeReason reason);
 
 private:
   friend class Scheduler;
-  void leaveAll();
-  Scheduler &sched_;
-  Event *signal_;
-  Deadline until_;
-  WakeReason woken_ = WakeReason::notified;
+  void unlinkAll();
+  Scheduler &scheduler_;
+  Event *event_;
+  Deadline deadline_;
+  WakeReason wakeReason_ = WakeReason::notified;
   std::coroutine_handle<> coroutine_;
-  Hook onSignal_{this}, onStop_{this}, onReady_{this};
+  WaitListNode eventNode_{this};
+  WaitListNode cancellationNode_{this};
+  WaitListNode readyNode_{this};
   std::multimap<Nanoseconds, Wait *>::iterator timer_;
-  bool timed_ = false;
+  bool hasTimer_ = false;
 };
 
-// A file descriptor's events, edge by edge.
+// Receives a file descriptor's epoll events, edge-triggered.
 class DescriptorObserver {
 public:
   virtual void onEvents(std::uint32_t events) = 0;
@@ -95,51 +110,58 @@
   ~DescriptorObserver() = default;
 };
 
-// The machine's clock, or one of the scheduler's own that jumps to the next time at which anything is due:
-// then no descriptor can be watched, and the run ends once nothing is due any more.
-enum class Clock { machine, own };
+// The system's monotonic clock, or a simulated one that jumps to the next time at which anything is due: then
+// no descriptor can be watched, and run() returns once nothing is due any more.
+enum class Clock { system, simulated };
 
 class Scheduler {
 public:
-  explicit Scheduler(Clock clock = Clock::machine);
+  // Throws std::system_error where epoll can't be had.
+  explicit Scheduler(Clock clock = Clock::system);
   ~Scheduler();
   Scheduler(const Scheduler &) = delete;
   Scheduler &operator=(const Scheduler &) = delete;
 
+  // The time as it was read last: at the beginning of the round, and before each resumed coroutine.
   Nanoseconds now() const { return now_; }
-  Wait wait(Event &signal, Deadline until = {}) { return {*this, &signal, until}; }
-  Wait sleep(Nanoseconds time, CancellationToken *stop = nullptr) {
-    return {*this, nullptr, {now_ + time, stop}};
+  Wait wait(Event &event, Deadline deadline = {}) { return {*this, &event, deadline}; }
+  // `duration` of 0: until the next round.
+  Wait sleep(Nanoseconds duration, CancellationToken *cancellation = nullptr) {
+    return {*this, nullptr, {now_ + duration, cancellation}};
   }
-  // Runs a coroutine of its own, from the next round on; it is the scheduler's until it ends. What it throws
-  // ends it alone and goes to `onThrow`.
+  // Runs a coroutine of its own, from the next round on; it is the scheduler's until it ends. An exception
+  // that it throws ends it alone and goes to `onUncaughtException`.
   void spawn(Task<> task);
-  void watch(int fd, DescriptorObserver &watched);
+  // Throws std::system_error where the descriptor can't be watched.
+  void watch(int fd, DescriptorObserver &observer);
   // Removes a registration; to be called before the descriptor is closed. Closing alone does not remove it
   // while a duplicate is open, as in a child process between fork and exec.
   void unwatch(int fd);
-  void run(); // until halt()
-  void halt() { halted_ = true; }
-  void endAll() { roots_.clear(); } // each coroutine where it waits; for the end of the program
+  void run(); // returns after halt()
+  void halt() { isHalted_ = true; }
+  // Destroys each spawned coroutine where it waits; for the end of the program.
+  void destroyAllTasks() { roots_.clear(); }
 
-  std::function<void(const char *)> onThrow;
+  std::function<void(const char *what)> onUncaughtException;
 
 private:
   friend class Wait;
-  Task<> root(Task<> task, std::list<Task<>>::iterator *self);
+  Task<> runRoot(Task<> task, std::list<Task<>>::iterator *self);
   void poll();
-  void expire();
+  void advanceSimulatedClock();
+  int epollTimeoutMs() const;
+  void expireTimers();
   void resumeReady();
   void readClock();
 
   Clock clock_;
   int epoll_ = -1;
   Nanoseconds now_ = 0;
-  bool halted_ = false;
-  Hook ready_;
-  std::multimap<Nanoseconds, Wait *> timers_;
-  std::list<Task<>> roots_;
-  std::list<std::list<Task<>>::iterator> ended_;
+  bool isHalted_ = false;
+  WaitListNode ready_;
+  std::multimap<Nanoseconds, Wait *> timers_; // by the time at which each is due
+  std::list<Task<>> roots_;                   // the spawned coroutines
+  std::list<std::list<Task<>>::iterator> finishedRoots_;
 };
 
 } // namespace myrtlehead::sched
--- a/src/base/sched/task.h
+++ b/src/base/sched/task.h
@@ -1,5 +1,5 @@
-// A coroutine that starts when it is awaited and gives its caller one value. Its frame belongs to the Task,
-// so that whoever drops the Task ends the coroutine, wherever it waits.
+// A coroutine that starts when it is awaited and returns one value, or an exception, to the coroutine that
+// awaits it. The Task owns its frame: destroying the Task destroys the coroutine wherever it is suspended.
 #pragma once
 
 #include <coroutine>
@@ -14,42 +14,43 @@
 namespace detail {
 
 struct PromiseBase {
-  std::coroutine_handle<> caller = std::noop_coroutine();
-  std::exception_ptr thrown;
+  std::coroutine_handle<> continuation = std::noop_coroutine(); // of the coroutine that awaits this one
+  std::exception_ptr exception;
 
   std::suspend_always initial_suspend() noexcept { return {}; }
-  struct Final {
+  struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
-    template <class P> std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-      return h.promise().caller;
+    template <class P> std::coroutine_handle<> await_suspend(std::coroutine_handle<P> finished) noexcept {
+      return finished.promise().continuation;
     }
     void await_resume() noexcept {}
   };
-  Final final_suspend() noexcept { return {}; }
-  void unhandled_exception() { thrown = std::current_exception(); }
+  FinalAwaiter final_suspend() noexcept { return {}; }
+  void unhandled_exception() { exception = std::current_exception(); }
 };
 
 template <class T> struct Promise : PromiseBase {
   std::optional<T> value;
   Task<T> get_return_object();
-  template <class U> void return_value(U &&v) { value.emplace(std::forward<U>(v)); }
-  T take() { return std::move(*value); }
+  template <class U> void return_value(U &&result) { value.emplace(std::forward<U>(result)); }
+  T takeValue() { return std::move(*value); }
 };
 
 template <> struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() {}
-  void take() {}
+  void takeValue() {}
 };
 
 } // namespace detail
 
+// Is awaited, or started, once at most.
 template <class T = void> class [[nodiscard]] Task {
 public:
   using promise_type = detail::Promise<T>;
   using Handle = std::coroutine_handle<promise_type>;
 
-  explicit Task(Handle h) : frame_(h) {}
+  explicit Task(Handle frame) : frame_(frame) {}
   Task(Task &&other) noexcept : frame_(std::exchange(other.frame_, {})) {}
   Task &operator=(Task &&other) noexcept {
     std::swap(frame_, other.frame_);
@@ -61,13 +62,14 @@
 
   bool await_ready() const { return false; }
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> caller) {
-    frame_.promise().caller = caller;
+    frame_.promise().continuation = caller;
     return frame_;
   }
   T await_resume() {
-    if (frame_.promise().thrown) std::rethrow_exception(frame_.promise().thrown);
-    return frame_.promise().take();
+    if (frame_.promise().exception) std::rethrow_exception(frame_.promise().exception);
+    return frame_.promise().takeValue();
   }
+  // Runs it up to its first suspension, with nobody that awaits it.
   void start() { frame_.resume(); }
 
 private:
--- a/src/cluster/job_server.cpp
+++ b/src/cluster/job_server.cpp
@@ -45,15 +45,15 @@
 JobServer::JobServer(net::Scheduler &sched, net::DescriptorBudget &budget, ReplicatedRegisters &registers,
                      JobManager &jobs, const Membership &membership, log::Log &log)
     : sched_(sched), budget_(budget), registers_(registers), jobs_(jobs), membership_(membership), log_(log),
-      listener_(net::listenAt(sched, budget, membership.listen)) {}
+      listener_(net::listenTcp(sched, budget, membership.listen)) {}
 
 net::Task<> JobServer::accept() {
   for (;;) {
-    auto socket = net::acceptNow(sched_, budget_, *listener_);
+    auto socket = net::tryAccept(sched_, budget_, *listener_);
     if (socket && open_ < kMostOpen)
       sched_.spawn(serve(std::move(*socket)));
     else if (!socket)
-      co_await listener_->readable({sched_.now() + kSecond, nullptr});
+      co_await listener_->waitReadable({sched_.now() + kSecond, nullptr});
   }
 }
 
@@ -126,10 +126,10 @@
                                                     {sched_.now() + kWhole, nullptr});
     line->due.pop_front();
     if (cause != net::ErrorCode::none || due->last) line->over = true;
-    if (due->last) line->socket->endWriting();
+    if (due->last) line->socket->shutdownWrite();
     line->changed.notify();
   }
-  line->socket->shutDown(); // who reads here sees the end
+  line->socket->shutdown(); // who reads here sees the end
 }
 
 net::Task<HttpResponse> JobServer::answer(std::string method, std::string target, std::string body) {
--- a/src/cluster/replicated_registers.cpp
+++ b/src/cluster/replicated_registers.cpp
@@ -166,7 +166,7 @@
     }
     const auto most = std::min(kPauseFirst << std::min(lost, 10), kPauseMost);
     const auto pause = static_cast<net::Nanoseconds>(draw() * static_cast<double>(most));
-    const auto woken = co_await sched_.sleep(pause, until.stop);
+    const auto woken = co_await sched_.sleep(pause, until.cancellation);
     if (woken == sched::WakeReason::cancelled) break;
   }
   co_return out;
--- a/src/control/dns/query_client.cpp
+++ b/src/control/dns/query_client.cpp
@@ -13,8 +13,8 @@
 net::Task<Asked> askOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
                             const dns::Sent &sent, net::Deadline until) {
   Asked out;
-  const auto socket = net::datagramsTo(sched, budget, server);
-  if (socket == nullptr || !socket->writeNow(dns::writeQuery(sent))) {
+  const auto socket = net::connectUdp(sched, budget, server);
+  if (socket == nullptr || !socket->tryWrite(dns::writeQuery(sent))) {
     out.mishap = Mishap::unreachable;
     co_return out;
   }
@@ -67,7 +67,7 @@
   query.insert(query.begin(), {static_cast<char>(size >> 8), static_cast<char>(size & 0xff)});
   c->pending[sent.id] = &pending;
   // Written at once or not at all: half a query would spoil those behind it.
-  if (!c->socket->writeNow(query)) close(*c, Mishap::broken);
+  if (!c->socket->tryWrite(query)) close(*c, Mishap::broken);
   if (!pending.over) {
     const auto woken = co_await sched_.wait(pending.done, until);
     if (woken != sched::WakeReason::notified) {
--- a/src/control/peers/peer_transport.cpp
+++ b/src/control/peers/peer_transport.cpp
@@ -17,7 +17,7 @@
     const auto note = co_await router_.nextPeerMessage();
     if (note.bytes.size() > kMostBytes || note.to >= static_cast<int>(peers_.size())) continue;
     const auto &to = note.to < 0 ? all_ : peers_[static_cast<std::size_t>(note.to)];
-    sendto(socket_->fd(), note.bytes.data(), note.bytes.size(), MSG_NOSIGNAL, to.raw(), to.size());
+    sendto(socket_->fd(), note.bytes.data(), note.bytes.size(), MSG_NOSIGNAL, to.asSockaddr(), to.size());
   }
 }
 
@@ -26,9 +26,9 @@
   for (unsigned n = 1;; ++n) {
     if (n % kTurn == 0) co_await sched_.sleep(0);
     net::Address from;
-    socklen_t size = sizeof from.at;
-    const auto got = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.raw(), &size);
-    if (got < 0 && errno == EAGAIN) co_await socket_->readable({});
+    socklen_t size = sizeof from.storage;
+    const auto got = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.asSockaddr(), &size);
+    if (got < 0 && errno == EAGAIN) co_await socket_->waitReadable({});
     if (got <= 0 || static_cast<std::size_t>(got) > kMostBytes) continue;
     const auto peer = std::find(peers_.begin(), peers_.end(), from);
     if (peer == peers_.end()) continue;
--- a/src/control/peers/peer_transport.h
+++ b/src/control/peers/peer_transport.h
@@ -12,7 +12,7 @@
 public:
   PeerTransport(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, net::Address listen,
                 std::vector<net::Address> peers, net::Address all)
-      : sched_(sched), socket_(net::datagramsAt(sched, budget, listen)), router_(router),
+      : sched_(sched), socket_(net::bindUdp(sched, budget, listen)), router_(router),
         peers_(std::move(peers)), all_(all) {}
 
   net::Task<> send();
--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -24,7 +24,7 @@
     : listener_(door), socket_(std::move(socket)), number_(number), opened_(door.sched_.now()),
       since_(opened_) {
   inAll_ = listener_.all_.insert(listener_.all_.end(), this);
-  socket_->onHangUp(&gone_);
+  socket_->cancelOnHangUp(&gone_);
 }
 
 ClientSession::~ClientSession() {
@@ -78,7 +78,7 @@
 net::Task<> ClientSession::partWith() {
   parting_ = true;
   stand(parted);
-  socket_->endWriting();
+  socket_->shutdownWrite();
   const net::Deadline until{listener_.sched_.now() + kPartWithin, &gone_};
   auto cause = ErrorCode::none;
   for (int n = 0; n < kPartedReads && cause == ErrorCode::none; ++n) {
@@ -97,7 +97,7 @@
   if (!listener_.shutdown_.is()) co_return;
   parting_ = true;
   stand(parted);
-  socket_->endWriting();
+  socket_->shutdownWrite();
   co_await listener_.sched_.sleep(kPartWithin, &gone_);
 }
 
@@ -120,7 +120,7 @@
     if (!goesOn) break;
     buffer_.consume(size);
     buffer_.shrink(kSmall);
-    place_.leave();
+    place_.release();
     forgetFinished();
     const bool turn = co_await turnToTakeUp();
     if (!turn) break;
@@ -225,7 +225,7 @@
 // and no second one, as a client may always have a further request.
 net::Task<ErrorCode> ClientSession::lastRead(Nanoseconds begun) {
   const bool waits = asked_ ? begun > 0 : listener_.shutdown_.is();
-  if (!waits) co_return std::exchange(looked_, true) ? ErrorCode::timedOut : socket_->readNow(buffer_);
+  if (!waits) co_return std::exchange(looked_, true) ? ErrorCode::timedOut : socket_->tryRead(buffer_);
   const net::Deadline until{begun > 0 ? begun : listener_.shutdown_.restBy(), nullptr};
   const auto cause = co_await socket_->read(buffer_, until);
   co_return cause;
@@ -233,12 +233,12 @@
 
 net::Task<bool> ClientSession::takePlace(Nanoseconds latest) {
   const auto size = pg::announcedSize(buffer_.view());
-  if (size <= kSmall || place_.held()) co_return true;
+  if (size <= kSmall || place_.isAcquired()) co_return true;
   const net::Deadline until{latest, asked_ ? &gone_ : &enough_};
-  const bool taken = co_await net::MemoryReservation::take(listener_.sched_, listener_.places_, size, until,
-                                                           place_);
-  if (!taken) co_return false;
-  buffer_.room(size + kSmall - buffer_.view().size()); // once, for all that comes
+  const auto reserved = co_await net::MemoryReservation::acquire(listener_.sched_, listener_.places_, size,
+                                                                 until, place_);
+  if (reserved != net::MemoryReservation::Result::acquired) co_return false;
+  buffer_.prepare(size + kSmall - buffer_.view().size()); // once, for all that comes
   co_return true;
 }
 
--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -45,7 +45,7 @@
     const bool admitted = co_await admission(request);
     if (admitted) co_await attempt(request);
   } catch (const std::exception &error) {
-    if (listener_.sched_.onThrow) listener_.sched_.onThrow(error.what());
+    if (listener_.sched_.onUncaughtException) listener_.sched_.onUncaughtException(error.what());
     abandon(); // it has no answer, so nothing behind it can be answered
   }
   finish(self);
@@ -118,7 +118,7 @@
   finished_.splice(finished_.end(), requests_, self);
   pg::addReady(self->reply->text);
   self->reply->complete = true;
-  self->place.leave();
+  self->place.release();
   listener_.admission_.leave(self->ticket);
   if (!requests_.empty()) listener_.admission_.becameFirst(requests_.front().ticket);
 }
@@ -129,7 +129,7 @@
 
 void ClientSession::abandon() {
   gone_.cancel();
-  socket_->shutDown(); // whoever reads sees the end
+  socket_->shutdown(); // whoever reads sees the end
 }
 
 // One coroutine writes at a time; what becomes complete meanwhile goes with its next batch.
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -33,20 +33,20 @@
                    std::size_t places)
     : sched_(sched), budget_(budget), router_(router), pool_(pool), log_(log), routes_(std::move(routes)),
       routeTimeouts_(std::move(routeTimeouts)), places_(std::max(places, 4 * pg::kMostBytes)),
-      socket_(net::listenAt(sched, budget, listen)), admission_(budget.most() / kForReqs) {}
+      socket_(net::listenTcp(sched, budget, listen)), admission_(budget.limit() / kForReqs) {}
 
 // Guards the descriptors that endpoints and control connections need. Where nobody can be spared the new one
 // is refused at once: in the backlog its request would wait for nobody.
 bool Listener::mayStay() {
-  const bool enough = budget_.left() > budget_.most() / kKept;
-  if (short_ ? budget_.left() > budget_.most() / (kKept - 1) : !enough) {
+  const bool enough = budget_.available() > budget_.limit() / kKept;
+  if (short_ ? budget_.available() > budget_.limit() / (kKept - 1) : !enough) {
     short_ = !short_;
     log_.info(short_ ? "descriptors are short, idle clients are closed" : "descriptors suffice again",
-              {{"left", budget_.left()}, {"of", budget_.most()}});
+              {{"left", budget_.available()}, {"of", budget_.limit()}});
   }
   // Requests take a third of the descriptors at most, so beyond that some connection has none and holds a
   // place that a client with one may be short of.
-  const bool many = static_cast<int>(all_.size()) > budget_.most() / kForReqs;
+  const bool many = static_cast<int>(all_.size()) > budget_.limit() / kForReqs;
   const bool room = (many || !enough) && makeRoom();
   return enough || room;
 }
@@ -94,18 +94,18 @@
 
 net::Task<> Listener::accept() {
   while (!noMore_.isCancelled()) {
-    if (budget_.left() <= budget_.most() / kLast) {
+    if (budget_.available() <= budget_.limit() / kLast) {
       makeRoom();
       const net::Deadline soon{sched_.now() + kRetryAccept, &noMore_};
-      co_await sched_.wait(budget_.freed, soon);
+      co_await sched_.wait(budget_.released, soon);
       continue;
     }
-    auto accepted = net::acceptNow(sched_, budget_, *socket_);
+    auto accepted = net::tryAccept(sched_, budget_, *socket_);
     if (accepted) {
       take(std::move(*accepted));
     } else if (accepted.failure().cause == ErrorCode::timedOut) {
       const net::Deadline until{sched::kNever, &noMore_};
-      co_await socket_->readable(until);
+      co_await socket_->waitReadable(until);
     } else if (accepted.failure().cause == ErrorCode::noDescriptorLeft) {
       log_.warning("no descriptor left for a client");
       if (!makeRoom()) pool_.closeOldestIdle();
@@ -121,8 +121,8 @@
 net::Task<> Listener::emptyBacklog() {
   for (int gone = 0; gone < kMostGone;) {
     auto cause = ErrorCode::noDescriptorLeft;
-    if (budget_.left() > budget_.most() / kLast) {
-      auto accepted = net::acceptNow(sched_, budget_, *socket_);
+    if (budget_.available() > budget_.limit() / kLast) {
+      auto accepted = net::tryAccept(sched_, budget_, *socket_);
       if (accepted) {
         take(std::move(*accepted));
         continue;
@@ -134,7 +134,7 @@
     if (cause != ErrorCode::noDescriptorLeft) continue;
     endAll();
     const net::Deadline latest{shutdown_.restBy(), nullptr};
-    const auto woken = co_await sched_.wait(budget_.freed, latest);
+    const auto woken = co_await sched_.wait(budget_.released, latest);
     if (woken != sched::WakeReason::notified) co_return;
   }
 }
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -103,7 +103,8 @@
   const auto address = net::parseAddress(target.address);
   if (!address) co_return Failure{ErrorCode::refused};
   until.at = std::min(until.at, sched_.now() + connectWithin_);
-  if (budget_.left() <= kControlShare && !closeOldestIdle()) co_return Failure{ErrorCode::noDescriptorLeft};
+  if (budget_.available() <= kControlShare && !closeOldestIdle())
+    co_return Failure{ErrorCode::noDescriptorLeft};
   auto connected = co_await net::connect(sched_, budget_, *address, until);
   if (!connected) co_return connected.failure();
   auto c = std::make_unique<Connection>();
@@ -140,7 +141,7 @@
 // has the form of the one answer due; anything else may have run and is not believed.
 net::Task<Failure> ConnectionPool::exchange(Connection &c, std::string query, net::Deadline until,
                                             Nanoseconds sendBy, AttemptResult &out) {
-  const net::Deadline whole{std::min(until.at, sendBy), until.stop};
+  const net::Deadline whole{std::min(until.at, sendBy), until.cancellation};
   const auto written = co_await c.socket->write(query, whole);
   if (written != ErrorCode::none) co_return Failure{written, SendProgress::partlyWritten};
   bool over = false, any = false;
@@ -149,10 +150,12 @@
     const auto part = c.reply.next(c.buffer.view(), m);
     if (part == pg::Reply::more) {
       const auto size = pg::announcedSize(c.buffer.view());
-      if (size > kSmall && !out.place.held()) {
-        const bool taken = co_await net::MemoryReservation::take(sched_, large_, size, until, out.place);
-        if (!taken) co_return Failure{ErrorCode::timedOut, SendProgress::responseStarted};
-        c.buffer.room(size + kSmall - c.buffer.view().size()); // once, for all that comes
+      if (size > kSmall && !out.place.isAcquired()) {
+        const auto reserved = co_await net::MemoryReservation::acquire(sched_, large_, size, until,
+                                                                       out.place);
+        if (reserved != net::MemoryReservation::Result::acquired)
+          co_return Failure{ErrorCode::timedOut, SendProgress::responseStarted};
+        c.buffer.prepare(size + kSmall - c.buffer.view().size()); // once, for all that comes
         out.answer.reserve(size + kHead);
       }
       const auto cause = co_await c.socket->read(c.buffer, until);
@@ -207,7 +210,7 @@
   pg::addQuery(query, "");
   c.due = 2;
   c.emptyDue = true;
-  c.spoilt = !c.socket->writeNow(query);
+  c.spoilt = !c.socket->tryWrite(query);
 }
 
 // Takes what has come of what is due behind an answer: ReadyForQuery, then the empty query's answer.
@@ -231,7 +234,7 @@
 ConnectionPool::Standing ConnectionPool::standing(Connection &c) {
   auto cause = ErrorCode::none;
   while (cause == ErrorCode::none && !c.spoilt) {
-    cause = c.socket->readNow(c.buffer);
+    cause = c.socket->tryRead(c.buffer);
     settle(c, nullptr);
   }
   if (cause != ErrorCode::timedOut) return useless;
