--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -28,7 +28,7 @@
 }
 
 ClientSession::~ClientSession() {
-  for (auto &request : requests_) listener_.admission_.leave(request.ticket);
+  for (auto &request : requests_) listener_.pipeliningLimits_.leave(request.ticket);
   stand(busy);
   listener_.all_.erase(inAll_);
   listener_.ended_.notify();
@@ -94,7 +94,7 @@
 // no request is cut off half-answered. Whoever is closed for its descriptor has had its last answer a while
 // ago, and goes at once.
 net::Task<> ClientSession::endBetween() {
-  if (!listener_.shutdown_.is()) co_return;
+  if (!listener_.shutdown_.isInProgress()) co_return;
   parting_ = true;
   stand(parted);
   socket_->shutdownWrite();
@@ -130,10 +130,10 @@
 
 // Returns once a further message may be taken up; false: the client has gone.
 net::Task<bool> ClientSession::turnToTakeUp() {
-  while (replies_.bytes() > kSmall || !listener_.admission_.mayTakeUp(held())) {
+  while (replies_.bytes() > kSmall || !listener_.pipeliningLimits_.mayStartMessage(held())) {
     const bool reads = co_await flush();
     if (!reads) co_return false;
-    if (listener_.admission_.mayTakeUp(held())) break;
+    if (listener_.pipeliningLimits_.mayStartMessage(held())) break;
     const net::Deadline until{sched::kNever, &gone_};
     co_await listener_.sched_.wait(changed_, until);
   }
@@ -200,7 +200,8 @@
     const bool between = buffer_.empty();
     if (!between && begun == 0)
       begun = asked_ ? listener_.sched_.now() + kReadWithin : opened_ + kFirstWithin;
-    if (!between && listener_.shutdown_.is()) begun = std::min(begun, listener_.shutdown_.restBy());
+    if (!between && listener_.shutdown_.isInProgress())
+      begun = std::min(begun, listener_.shutdown_.partialMessageDeadline());
     // Whoever has never asked anything whole may be closed for those that have, as before its startup
     // message.
     const bool resting = requests_.empty() && !writing_;
@@ -224,9 +225,9 @@
 // instance ends, a new connection's first. Else one look, which guards the request that has crossed the wish;
 // and no second one, as a client may always have a further request.
 net::Task<ErrorCode> ClientSession::lastRead(Nanoseconds begun) {
-  const bool waits = asked_ ? begun > 0 : listener_.shutdown_.is();
+  const bool waits = asked_ ? begun > 0 : listener_.shutdown_.isInProgress();
   if (!waits) co_return std::exchange(looked_, true) ? ErrorCode::timedOut : socket_->tryRead(buffer_);
-  const net::Deadline until{begun > 0 ? begun : listener_.shutdown_.restBy(), nullptr};
+  const net::Deadline until{begun > 0 ? begun : listener_.shutdown_.partialMessageDeadline(), nullptr};
   const auto cause = co_await socket_->read(buffer_, until);
   co_return cause;
 }
--- a/src/downstream/client_session.h
+++ b/src/downstream/client_session.h
@@ -34,7 +34,7 @@
     int route = 0;
     Nanoseconds arrived = 0;
     net::MemoryReservation place; // of its large message
-    pipelining_limits::Ticket ticket;
+    pipelining_limits::AdmissionTicket ticket;
     sched::Event admitted;
     PendingReply *reply = nullptr;
     bool over = false; // its coroutine has nothing left to do
--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -34,7 +34,9 @@
   request.reply = &replies_.add();
   request.reply->id = OpenId(listener_.openIds_, at);
   request.ticket.onAdmitted = [&request] { request.admitted.notify(); };
-  listener_.admission_.enter(request.ticket, requests_.size() == 1);
+  listener_.pipeliningLimits_.enter(request.ticket, requests_.size() == 1
+                                                        ? pipelining_limits::RequestPosition::first
+                                                        : pipelining_limits::RequestPosition::behindOthers);
   request.task.emplace(serve(self));
   request.task->start(); // at once: up to its first wait
 }
@@ -55,14 +57,14 @@
 
 // False: it has been refused, or nobody waits for it any more.
 net::Task<bool> ClientSession::admission(Request &request) {
-  const net::Deadline until{pipelining_limits::waitsUntil(request.arrived, patience(request)), &gone_};
-  while (request.ticket.state == pipelining_limits::Ticket::waiting) {
+  const net::Deadline until{pipelining_limits::admissionDeadline(request.arrived, patience(request)), &gone_};
+  while (request.ticket.state == pipelining_limits::AdmissionTicket::waiting) {
     const auto woken = co_await listener_.sched_.wait(request.admitted, until);
     if (woken != sched::WakeReason::notified) break;
   }
   if (gone_.isCancelled()) co_return false;
-  const bool admitted = request.ticket.state == pipelining_limits::Ticket::admitted;
-  const bool closing = !listener_.shutdown_.mayBegin(listener_.sched_.now());
+  const bool admitted = request.ticket.state == pipelining_limits::AdmissionTicket::admitted;
+  const bool closing = !listener_.shutdown_.mayStartRequest(listener_.sched_.now());
   if (closing) refuse(request, "this marshal ends; trying again is harmless");
   if (!closing && !admitted) refuse(request, "too many requests at once; trying again is harmless");
   co_return admitted && !closing;
@@ -119,8 +121,8 @@
   pg::addReady(self->reply->text);
   self->reply->complete = true;
   self->place.release();
-  listener_.admission_.leave(self->ticket);
-  if (!requests_.empty()) listener_.admission_.becameFirst(requests_.front().ticket);
+  listener_.pipeliningLimits_.leave(self->ticket);
+  if (!requests_.empty()) listener_.pipeliningLimits_.onBecameFirst(requests_.front().ticket);
 }
 
 void ClientSession::forgetFinished() {
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -33,7 +33,7 @@
                    std::size_t places)
     : sched_(sched), budget_(budget), router_(router), pool_(pool), log_(log), routes_(std::move(routes)),
       routeTimeouts_(std::move(routeTimeouts)), places_(std::max(places, 4 * pg::kMostBytes)),
-      socket_(net::listenTcp(sched, budget, listen)), admission_(budget.limit() / kForReqs) {}
+      socket_(net::listenTcp(sched, budget, listen)), pipeliningLimits_(budget.limit() / kForReqs) {}
 
 // Guards the descriptors that endpoints and control connections need. Where nobody can be spared the new one
 // is refused at once: in the backlog its request would wait for nobody.
@@ -133,7 +133,7 @@
     gone += cause != ErrorCode::noDescriptorLeft; // that client has gone already
     if (cause != ErrorCode::noDescriptorLeft) continue;
     endAll();
-    const net::Deadline latest{shutdown_.restBy(), nullptr};
+    const net::Deadline latest{shutdown_.partialMessageDeadline(), nullptr};
     const auto woken = co_await sched_.wait(budget_.released, latest);
     if (woken != sched::WakeReason::notified) co_return;
   }
@@ -144,8 +144,8 @@
 }
 
 net::Task<> Listener::close() {
-  shutdown_.asked(sched_.now());
-  co_await sched_.sleep(shutdown_.closesAt() - sched_.now());
+  shutdown_.begin(sched_.now());
+  co_await sched_.sleep(shutdown_.acceptsUntil() - sched_.now());
   noMore_.cancel();
   co_await emptyBacklog();
   socket_.reset(); // right behind the last look: what comes between the two is reset
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -50,7 +50,7 @@
   // Those that may be closed, the longest first: parted with, not yet started, waiting for a request.
   std::list<class ClientSession *> parted_, early_, idle_;
   std::set<std::string, std::less<>> openIds_; // of the requests in hand
-  pipelining_limits::Admission admission_;
+  pipelining_limits::PipeliningLimits pipeliningLimits_;
   unsigned faults_ = 0; // of clients, since one was last logged
   Nanoseconds faultSaid_ = 0;
   sched::Event ended_;
--- a/src/policy/graceful_shutdown.h
+++ b/src/policy/graceful_shutdown.h
@@ -1,6 +1,6 @@
-// How an instance's front ends, by the moment at which it was asked to. No I/O; time is an argument. The
-// platform still sends new connections and requests for 0.4 s, and what arrives later than 0.7 s has no
-// promise of an answer before the process is killed.
+// What the clients' side still does at which time after it was asked to shut down. No I/O; time is an
+// argument. The platform still sends new connections and requests for 0.4 s, and what arrives later than
+// 0.7 s is not promised an answer before the process is killed.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,28 @@
 
 class GracefulShutdown {
 public:
-  void asked(Nanoseconds now) {
-    if (!is()) at_ = now;
+  // The first call counts.
+  void begin(Nanoseconds now) {
+    if (!isInProgress()) begunAt_ = now;
+  }
+  bool isInProgress() const { return begunAt_ != kNotBegun; }
+  // Until then connections are accepted as before; after that the backlog is emptied, the listener closes,
+  // and idle connections are closed. Only while it is in progress.
+  Nanoseconds acceptsUntil() const { return begunAt_ + kAcceptTime; }
+  // Until then the rest of a message is awaited of which a part has come. Only while it is in progress.
+  Nanoseconds partialMessageDeadline() const { return begunAt_ + kPartialMessageTime; }
+  // Whether a request that has been read may be started: one behind others on its connection may come up too
+  // late to be answered, and its client is told that a retry is harmless.
+  bool mayStartRequest(Nanoseconds now) const {
+    return !isInProgress() || now < begunAt_ + kStartRequestTime;
   }
-  bool is() const { return at_ != kOpen; }
-  // Until then all is taken as before; then the backlog, and what stands between requests is ended.
-  Nanoseconds closesAt() const { return at_ + kStillOpen; }
-  // A message of which a part has come by then is waited for until that time.
-  Nanoseconds restBy() const { return at_ + kRestBy; }
-  // Whether a request that has been read may be begun: one behind others on its connection may come up too
-  // late to be answered, and is told that trying again is harmless.
-  bool mayBegin(Nanoseconds now) const { return !is() || now < at_ + kBegunBy; }
 
 private:
-  static constexpr Nanoseconds kOpen = std::numeric_limits<Nanoseconds>::max();
-  static constexpr Nanoseconds kStillOpen = 500 * kMillisecond, kRestBy = 650 * kMillisecond,
-                               kBegunBy = 700 * kMillisecond;
-  Nanoseconds at_ = kOpen;
+  static constexpr Nanoseconds kNotBegun = std::numeric_limits<Nanoseconds>::max();
+  static constexpr Nanoseconds kAcceptTime = 500 * kMillisecond;
+  static constexpr Nanoseconds kPartialMessageTime = 650 * kMillisecond;
+  static constexpr Nanoseconds kStartRequestTime = 700 * kMillisecond;
+  Nanoseconds begunAt_ = kNotBegun;
 };
 
 } // namespace myrtlehead::graceful_shutdown
--- a/src/policy/pipelining_limits.cpp
+++ b/src/policy/pipelining_limits.cpp
@@ -3,47 +3,51 @@
 namespace myrtlehead::pipelining_limits {
 
 namespace {
-constexpr std::size_t kMostRequests = 128;     // in hand on one connection
-constexpr std::size_t kMostBytes = 256 * 1024; // of answers that one connection holds
-constexpr std::size_t kMostWaiting = 2;        // times the places, of all connections
-constexpr Nanoseconds kWaitParts = 2;          // one part in so many of its time may be spent waiting
+
+constexpr std::size_t kMaxRequestsPerConnection = 128;
+constexpr std::size_t kMaxAnswerBytesPerConnection = 256 * 1024;
+constexpr std::size_t kMaxWaitingPerCapacity = 2; // requests that wait, of all connections
+constexpr Nanoseconds kAdmissionWaitDivisor = 2;  // of the client's timeout: the part spent waiting at most
+
 } // namespace
 
-Nanoseconds waitsUntil(Nanoseconds arrived, Nanoseconds patience) { return arrived + patience / kWaitParts; }
+Nanoseconds admissionDeadline(Nanoseconds arrivedAt, Nanoseconds clientTimeout) {
+  return arrivedAt + clientTimeout / kAdmissionWaitDivisor;
+}
 
-bool Admission::mayTakeUp(const ConnectionUsage &held) const {
-  if (held.bytes >= kMostBytes) return false;
-  if (held.requests == 0) return true;
-  const auto mostWaiting = kMostWaiting * static_cast<std::size_t>(places_);
-  return held.requests < kMostRequests && waiting_.size() < mostWaiting;
+bool PipeliningLimits::mayStartMessage(const ConnectionUsage &usage) const {
+  if (usage.bytes >= kMaxAnswerBytesPerConnection) return false;
+  if (usage.requests == 0) return true;
+  const auto maxWaiting = kMaxWaitingPerCapacity * static_cast<std::size_t>(capacity_);
+  return usage.requests < kMaxRequestsPerConnection && waiting_.size() < maxWaiting;
 }
 
-void Admission::admit(Ticket &ticket) {
-  ticket.state = Ticket::admitted;
-  ++attempted_;
+void PipeliningLimits::admit(AdmissionTicket &ticket) {
+  ticket.state = AdmissionTicket::admitted;
+  ++admittedCount_;
 }
 
-void Admission::enter(Ticket &ticket, bool first) {
-  const bool room = waiting_.empty() && attempted_ < places_;
-  if (first || room) return admit(ticket);
-  ticket.state = Ticket::waiting;
-  ticket.at = waiting_.insert(waiting_.end(), &ticket);
+void PipeliningLimits::enter(AdmissionTicket &ticket, RequestPosition position) {
+  const bool hasCapacity = waiting_.empty() && admittedCount_ < capacity_;
+  if (position == RequestPosition::first || hasCapacity) return admit(ticket);
+  ticket.state = AdmissionTicket::waiting;
+  ticket.queueAt = waiting_.insert(waiting_.end(), &ticket);
 }
 
-void Admission::becameFirst(Ticket &ticket) {
-  if (ticket.state != Ticket::waiting) return;
-  waiting_.erase(ticket.at);
+void PipeliningLimits::onBecameFirst(AdmissionTicket &ticket) {
+  if (ticket.state != AdmissionTicket::waiting) return;
+  waiting_.erase(ticket.queueAt);
   admit(ticket);
   if (ticket.onAdmitted) ticket.onAdmitted();
 }
 
-void Admission::leave(Ticket &ticket) {
+void PipeliningLimits::leave(AdmissionTicket &ticket) {
   const auto state = ticket.state;
-  ticket.state = Ticket::outside;
-  if (state == Ticket::waiting) waiting_.erase(ticket.at);
-  if (state != Ticket::admitted) return;
-  --attempted_;
-  if (waiting_.empty() || attempted_ >= places_) return;
+  ticket.state = AdmissionTicket::outside;
+  if (state == AdmissionTicket::waiting) waiting_.erase(ticket.queueAt);
+  if (state != AdmissionTicket::admitted) return;
+  --admittedCount_;
+  if (waiting_.empty() || admittedCount_ >= capacity_) return;
   auto &next = *waiting_.front();
   waiting_.pop_front();
   admit(next);
--- a/src/policy/pipelining_limits.h
+++ b/src/policy/pipelining_limits.h
@@ -1,4 +1,4 @@
-// Limits on pipelined requests: how much one connection may have in hand, and how many requests of all
+// Limits on pipelined requests: how much one connection may have in flight, and how many requests of all
 // connections may be attempted at the same time. No I/O; time is an argument.
 #pragma once
 
@@ -11,45 +11,53 @@
 
 using Nanoseconds = std::int64_t;
 
-// What a connection holds while its requests wait for answers, or its answers wait to be written.
+// What a connection occupies while its requests wait for answers, or its answers wait to be written.
 struct ConnectionUsage {
-  std::size_t requests = 0; // taken up and not yet answered in full
+  std::size_t requests = 0; // started and not yet answered completely
   std::size_t bytes = 0;    // of answers not yet written
 };
 
-// Until when a request that stands behind others of its connection may wait for a place. Past that it is
-// refused, while its client still has the other half of its time for another attempt elsewhere.
-Nanoseconds waitsUntil(Nanoseconds arrived, Nanoseconds patience);
+// Until when a request behind others of its connection may wait to be admitted; `clientTimeout`: how long its
+// client waits for the answer from `arrivedAt` on. Past that it is rejected, while its client still has the
+// other half of that time for a retry elsewhere.
+Nanoseconds admissionDeadline(Nanoseconds arrivedAt, Nanoseconds clientTimeout);
 
-// One request's right to be attempted. It must not move while it is known to an Admission.
-struct Ticket {
+// One request's right to be attempted. It must not move while PipeliningLimits refers to it.
+struct AdmissionTicket {
   enum State { outside, waiting, admitted } state = outside;
-  std::function<void()> onAdmitted; // called when it is admitted after a wait
-  std::list<Ticket *>::iterator at; // while it waits
+  std::function<void()> onAdmitted;               // called when it is admitted after a wait
+  std::list<AdmissionTicket *>::iterator queueAt; // while it waits
 };
 
-// Bounds the requests that are attempted at the same time. The first request in hand of each connection is
-// always admitted, as connections are bounded by themselves; those behind it take what is left of the places,
-// in the order in which they came.
-class Admission {
+// Whether a request is the first in flight on its connection.
+enum class RequestPosition { first, behindOthers };
+
+// Bounds the requests that are attempted at the same time. The first request in flight of each connection is
+// always admitted, as the number of connections is bounded by itself; those behind it take what is left of
+// the capacity, in the order in which they came.
+class PipeliningLimits {
 public:
-  explicit Admission(int places) : places_(places) {}
+  // `capacity`: of requests that are attempted at the same time.
+  explicit PipeliningLimits(int capacity) : capacity_(capacity) {}
 
-  // Whether a connection may take up a further message. A client that reads nothing, or that pipelines
+  // Whether a connection may start on a further message. A client that reads nothing, or that pipelines
   // without end, is not read on until some of its answers have been written; nor is one that has requests in
-  // hand while many others wait. A connection with nothing in hand always may.
-  bool mayTakeUp(const ConnectionUsage &held) const;
-  void enter(Ticket &ticket, bool first); // admits it, or lets it wait
-  void becameFirst(Ticket &ticket);       // of its connection: admitted, if it still waits
-  void leave(Ticket &ticket);             // answered, refused or abandoned; makes room for the next
-  int attempted() const { return attempted_; }
-  std::size_t waiting() const { return waiting_.size(); }
+  // flight while many others wait. A connection with nothing in flight always may.
+  bool mayStartMessage(const ConnectionUsage &usage) const;
+  // Admits the request, or lets it wait.
+  void enter(AdmissionTicket &ticket, RequestPosition position);
+  // The requests ahead of it on its connection are answered: it is admitted, if it still waits.
+  void onBecameFirst(AdmissionTicket &ticket);
+  // It is answered, rejected or abandoned: the next one that waits is admitted.
+  void leave(AdmissionTicket &ticket);
+  int admittedCount() const { return admittedCount_; }
+  std::size_t waitingCount() const { return waiting_.size(); }
 
 private:
-  void admit(Ticket &ticket);
-  int places_;
-  int attempted_ = 0;
-  std::list<Ticket *> waiting_;
+  void admit(AdmissionTicket &ticket);
+  int capacity_;
+  int admittedCount_ = 0;
+  std::list<AdmissionTicket *> waiting_;
 };
 
 } // namespace myrtlehead::pipelining_limits
