--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -9,321 +9,267 @@
 
 namespace {
 
-constexpr Nanoseconds kStartWithin = 2 * kSecond;     // for the whole startup message to come
-constexpr Nanoseconds kReadWithin = 2 * kSecond;      // for the rest of a message that has begun
-constexpr Nanoseconds kFirstWithin = 5 * kSecond / 2; // from its opening, for the first one of a connection
-constexpr Nanoseconds kPartWithin = kSecond;          // for a client to see that it is parted with
-constexpr std::size_t kSmall = 16 * 1024; // a message that needs no place of its own, a buffer that is kept
-constexpr unsigned kTurn = 32;            // messages, then other sessions have theirs
-constexpr Nanoseconds kMostRest = kSecond / 10;
-constexpr int kPartedReads = 16, kEncryptions = 2;
+constexpr Nanoseconds kStartupTimeout = 2 * kSecond; // for the complete startup message
+constexpr Nanoseconds kMessageTimeout = 2 * kSecond; // for the rest of a message that has begun
+constexpr Nanoseconds kFirstMessageTimeout = 5 * kSecond /
+                                             2; // from the opening, for a connection's first one
+constexpr Nanoseconds kClosingTime = kSecond;   // for a client to see the connection's end
+constexpr Nanoseconds kMaxThrottle = kSecond / 10;
+constexpr std::size_t kSmallMessageBytes = 16 * 1024; // needs no reservation; a buffer that is kept
+constexpr unsigned kMessagesPerTurn = 32;             // then other sessions are resumed
+constexpr unsigned kFaultsPerThrottleStep = 32;       // each step waits a millisecond more
+constexpr int kMaxReadsWhileClosing = 16;
+constexpr int kMaxEncryptionRequests = 2;
+constexpr Nanoseconds kNoMessageBegun = 0; // in place of a message's deadline
 
 } // namespace
 
-ClientSession::ClientSession(Listener &door, std::unique_ptr<net::Socket> socket, std::uint32_t number)
-    : listener_(door), socket_(std::move(socket)), number_(number), opened_(door.sched_.now()),
-      since_(opened_) {
-  inAll_ = listener_.all_.insert(listener_.all_.end(), this);
-  socket_->cancelOnHangUp(&gone_);
+ClientSession::ClientSession(Listener &listener, std::unique_ptr<net::Socket> socket, std::uint32_t number)
+    : listener_(listener), socket_(std::move(socket)), number_(number), openedAt_(listener.sched_.now()),
+      listedSince_(openedAt_) {
+  positionInAll_ = listener_.all_.insert(listener_.all_.end(), this);
+  socket_->cancelOnHangUp(&clientGone_);
 }
 
 ClientSession::~ClientSession() {
   for (auto &request : requests_) listener_.pipeliningLimits_.leave(request.ticket);
-  stand(busy);
-  listener_.all_.erase(inAll_);
-  listener_.ended_.notify();
+  moveToList(ReclaimList::none);
+  listener_.all_.erase(positionInAll_);
+  listener_.sessionEnded_.notify();
 }
 
-std::list<ClientSession *> &ClientSession::list(Standing of) {
-  return of == parted ? listener_.parted_ : of == early ? listener_.early_ : listener_.idle_;
+std::list<ClientSession *> &ClientSession::listOf(ReclaimList list) {
+  if (list == ReclaimList::closing) return listener_.closing_;
+  return list == ReclaimList::unused ? listener_.unused_ : listener_.idle_;
 }
 
-void ClientSession::stand(Standing is) {
-  if (is == standing_) return;
-  if (standing_ != busy) list(standing_).erase(inList_);
-  standing_ = is;
-  since_ = listener_.sched_.now();
-  if (is != busy) inList_ = list(is).insert(list(is).end(), this);
+void ClientSession::moveToList(ReclaimList list) {
+  if (list == list_) return;
+  if (list_ != ReclaimList::none) listOf(list_).erase(positionInList_);
+  list_ = list;
+  listedSince_ = listener_.sched_.now();
+  if (list != ReclaimList::none) positionInList_ = listOf(list).insert(listOf(list).end(), this);
 }
 
-void ClientSession::complain(std::string_view code, std::string_view message, bool ready) {
-  ++faults_;
-  listener_.fault(message);
-  auto &out = replies_.tail();
-  pg::addError(out, {"ERROR", code, message});
-  if (ready) pg::addReady(out);
+net::Task<> ClientSession::failConnection(std::string_view message) {
+  listener_.countFault(message);
+  pg::addError(replies_.tail(), {"FATAL", "08P01", message});
+  const auto client = co_await drain();
+  if (client == ClientState::connected) co_await closeGracefully();
 }
 
-net::Task<> ClientSession::breakOff(std::string_view message) {
-  listener_.fault(message);
-  pg::addError(replies_.tail(), {"FATAL", "08P01", message});
-  const bool written = co_await drain();
-  if (written) co_await partWith();
+void ClientSession::requestCloseNow() {
+  closeRequest_ = std::max(closeRequest_, CloseRequest::now);
+  closeToken_.cancel();
 }
 
-void ClientSession::stopIdling() {
-  stand(busy); // it is not asked twice
-  enough_.cancel();
-  if (parting_) gone_.cancel();
+void ClientSession::closeIdle() {
+  moveToList(ReclaimList::none); // it is not asked twice
+  requestCloseNow();
+  if (phase_ == Phase::closing) clientGone_.cancel();
 }
 
-void ClientSession::end() {
-  if (parting_) return; // it ends soon by itself
-  wanted_ = true;
-  if (requests_.empty() && !writing_) stopIdling();
+void ClientSession::closeWhenAnswered() {
+  if (phase_ == Phase::closing) return; // it ends soon by itself
+  closeRequest_ = std::max(closeRequest_, CloseRequest::whenAnswered);
+  if (requests_.empty() && !isWriting_) closeIdle();
 }
 
-// Guards what was said last: closed with bytes unread, a connection is reset, and the client may not see it.
-// Little is read of what still comes, and nothing of 60 MB.
-net::Task<> ClientSession::partWith() {
-  parting_ = true;
-  stand(parted);
+// Guards what was written last: closed with bytes unread, a connection is reset, and the client may not see
+// it. Little is read of what still arrives, so that a client that sends much occupies nothing.
+net::Task<> ClientSession::closeGracefully() {
+  phase_ = Phase::closing;
+  moveToList(ReclaimList::closing);
   socket_->shutdownWrite();
-  const net::Deadline until{listener_.sched_.now() + kPartWithin, &gone_};
-  auto cause = ErrorCode::none;
-  for (int n = 0; n < kPartedReads && cause == ErrorCode::none; ++n) {
+  const net::Deadline deadline{listener_.sched_.now() + kClosingTime, &clientGone_};
+  auto error = ErrorCode::none;
+  for (int n = 0; n < kMaxReadsWhileClosing && error == ErrorCode::none; ++n) {
     buffer_.consume(buffer_.view().size());
-    cause = co_await socket_->read(buffer_, until);
+    error = co_await socket_->read(buffer_, deadline);
   }
-  if (cause == ErrorCode::none) co_await listener_.sched_.sleep(until.at - listener_.sched_.now(), &gone_);
+  if (error == ErrorCode::none)
+    co_await listener_.sched_.sleep(deadline.at - listener_.sched_.now(), &clientGone_);
 }
 
-// Guards the answer written last, and a request that crosses our wish to close: closed with bytes unread, a
-// connection is reset, which can overtake the answer. The client sees our end first, and what it has sent
-// into that end was not read: by the protocol it sends it once more elsewhere. So nothing is read here, and
-// no request is cut off half-answered. Whoever is closed for its descriptor has had its last answer a while
-// ago, and goes at once.
-net::Task<> ClientSession::endBetween() {
+// Guards the answer written last, and a request that crosses our end: closed with bytes unread, a connection
+// is reset, which can overtake the answer. The client sees our end first, and what it has sent into that end
+// was not read: by the protocol it sends it once more elsewhere. So nothing is read here, and no request is
+// cut off half-answered. A connection that is closed for its descriptor has had its last answer a while ago,
+// and goes at once.
+net::Task<> ClientSession::closeAtShutdown() {
   if (!listener_.shutdown_.isInProgress()) co_return;
-  parting_ = true;
-  stand(parted);
+  phase_ = Phase::closing;
+  moveToList(ReclaimList::closing);
   socket_->shutdownWrite();
-  co_await listener_.sched_.sleep(kPartWithin, &gone_);
+  co_await listener_.sched_.sleep(kClosingTime, &clientGone_);
 }
 
-net::Task<> ClientSession::run(bool stays) {
-  stand(early);
-  const bool started = co_await startUp(stays ? kStartWithin : kPartWithin);
-  stand(busy);
-  if (!started) co_return;
-  if (!stays) {
+net::Task<> ClientSession::run(ConnectionDecision decision) {
+  const bool isServed = decision == ConnectionDecision::serve;
+  moveToList(ReclaimList::unused);
+  const auto started = co_await startUp(isServed ? kStartupTimeout : kClosingTime);
+  moveToList(ReclaimList::none);
+  if (started == SessionFlow::end) co_return;
+  if (!isServed) {
     pg::addError(replies_.tail(), {"FATAL", "53300", "too many connections; trying again is harmless"});
-    const bool written = co_await flush();
-    if (written) co_await partWith();
+    const auto client = co_await flush();
+    if (client == ClientState::connected) co_await closeGracefully();
     co_return;
   }
   pg::Message message;
-  for (unsigned n = 1; co_await nextMessage(message); ++n) {
-    if (n % kTurn == 0) co_await rest();
+  for (unsigned n = 1;; ++n) {
+    const auto next = co_await nextMessage(message);
+    if (next == SessionFlow::end) break;
+    if (n % kMessagesPerTurn == 0) co_await throttle();
     const auto size = message.size;
-    const bool goesOn = co_await answer(message);
-    if (!goesOn) break;
+    const auto handled = co_await handleMessage(message);
+    if (handled == SessionFlow::end) break;
     buffer_.consume(size);
-    buffer_.shrink(kSmall);
-    place_.release();
-    forgetFinished();
-    const bool turn = co_await turnToTakeUp();
-    if (!turn) break;
+    buffer_.shrink(kSmallMessageBytes);
+    memory_.release();
+    eraseFinishedRequests();
+    const auto client = co_await awaitUsageWithinLimits();
+    if (client == ClientState::gone) break;
   }
   co_await drain();
 }
 
-// Returns once a further message may be taken up; false: the client has gone.
-net::Task<bool> ClientSession::turnToTakeUp() {
-  while (replies_.bytes() > kSmall || !listener_.pipeliningLimits_.mayStartMessage(held())) {
-    const bool reads = co_await flush();
-    if (!reads) co_return false;
-    if (listener_.pipeliningLimits_.mayStartMessage(held())) break;
-    const net::Deadline until{sched::kNever, &gone_};
-    co_await listener_.sched_.wait(changed_, until);
+// Returns once a further message may be started.
+net::Task<ClientState> ClientSession::awaitUsageWithinLimits() {
+  const auto &limits = listener_.pipeliningLimits_;
+  while (replies_.bytes() > kSmallMessageBytes || !limits.mayStartMessage(usage())) {
+    const auto client = co_await flush();
+    if (client == ClientState::gone) co_return ClientState::gone;
+    if (limits.mayStartMessage(usage())) break;
+    const net::Deadline deadline{sched::kNever, &clientGone_};
+    co_await listener_.sched_.wait(progressed_, deadline);
   }
-  co_return true;
+  co_return ClientState::connected;
 }
 
-// Guards the other clients against one that sends what can't be used over and over: the more of it, the
+// Guards the other clients against one that sends unusable commands over and over: the more of them, the
 // longer it waits for its next turn.
-net::Task<> ClientSession::rest() {
-  const Nanoseconds wait = std::min<Nanoseconds>(faults_ / kTurn * kMillisecond, kMostRest);
-  co_await listener_.sched_.sleep(wait, &gone_);
+net::Task<> ClientSession::throttle() {
+  const auto time = std::min<Nanoseconds>(faults_ / kFaultsPerThrottleStep * kMillisecond, kMaxThrottle);
+  co_await listener_.sched_.sleep(time, &clientGone_);
 }
 
-net::Task<bool> ClientSession::startUp(Nanoseconds within) {
-  const net::Deadline until{listener_.sched_.now() + within, &enough_};
-  for (int encryptions = 0;;) {
+// The startup message, and requests for encryption before it, which are declined.
+net::Task<SessionFlow> ClientSession::startUp(Nanoseconds within) {
+  const net::Deadline deadline{listener_.sched_.now() + within, &closeToken_};
+  for (int encryptionRequests = 0;;) {
     pg::Startup startup;
     const auto parsed = pg::parseStartup(buffer_.view(), startup);
     if (parsed == pg::Parsed::more) {
-      auto cause = co_await socket_->read(buffer_, until);
-      if (cause == ErrorCode::cancelled) cause = co_await lastRead(0);
-      const bool nothing = enough_.isCancelled() && cause == ErrorCode::timedOut;
-      if (nothing) co_await endBetween();
-      if (cause != ErrorCode::none) co_return false;
+      auto error = co_await socket_->read(buffer_, deadline);
+      if (error == ErrorCode::cancelled) error = co_await finalRead(kNoMessageBegun);
+      const bool isClosed = closeToken_.isCancelled() && error == ErrorCode::timedOut;
+      if (isClosed) co_await closeAtShutdown();
+      if (error != ErrorCode::none) co_return SessionFlow::end;
       lastReadAt_ = listener_.sched_.now();
       continue;
     }
-    if (parsed == pg::Parsed::bad || startup.kind == pg::Opening::unknown || encryptions > kEncryptions) {
-      co_await breakOff("the startup message is not protocol 3");
-      co_return false;
+    const bool isUnusable = parsed == pg::Parsed::bad || startup.kind == pg::Opening::unknown;
+    if (isUnusable || encryptionRequests > kMaxEncryptionRequests) {
+      co_await failConnection("the startup message is not protocol 3");
+      co_return SessionFlow::end;
     }
-    if (startup.kind == pg::Opening::cancel) co_return false; // there is nothing to cancel by its key
+    if (startup.kind == pg::Opening::cancel) co_return SessionFlow::end; // there is no query to cancel
     buffer_.consume(startup.size);
     if (startup.kind == pg::Opening::encryption) {
-      ++encryptions;
+      ++encryptionRequests;
       replies_.tail() += 'N';
-      const bool written = co_await flush();
-      if (!written) co_return false;
+      const auto client = co_await flush();
+      if (client == ClientState::gone) co_return SessionFlow::end;
       continue;
     }
     auto &out = replies_.tail();
     if (startup.minor > 0) pg::addOldestMinor(out);
     pg::addWelcome(out, number_, number_ * 2654435761u);
     pg::addReady(out);
-    co_return true;
+    co_return SessionFlow::proceed;
   }
 }
 
-// The next message, at the front of the buffer. Between messages the connection may be taken back.
-net::Task<bool> ClientSession::nextMessage(pg::Message &out) {
-  for (Nanoseconds begun = 0;;) {
+// The next message, at the front of the buffer. Between messages the connection may be closed.
+net::Task<SessionFlow> ClientSession::nextMessage(pg::Message &out) {
+  for (Nanoseconds messageDeadline = kNoMessageBegun;;) {
     const auto parsed = pg::parseMessage(buffer_.view(), out);
-    if (parsed == pg::Parsed::whole) co_return true;
+    if (parsed == pg::Parsed::whole) co_return SessionFlow::proceed;
     if (parsed == pg::Parsed::bad) {
-      co_await breakOff("a message with an impossible length");
-      co_return false;
+      co_await failConnection("a message with an impossible length");
+      co_return SessionFlow::end;
     }
-    const bool written = co_await flush();
-    if (!written) co_return false;
-    if (faults_ >= kTurn) co_await rest();
-    // Wanted back with requests in hand again: they are answered first.
-    const bool reads = !enough_.isCancelled() || co_await drain();
-    if (!reads) co_return false;
-    const bool between = buffer_.empty();
-    if (!between && begun == 0)
-      begun = asked_ ? listener_.sched_.now() + kReadWithin : opened_ + kFirstWithin;
-    if (!between && listener_.shutdown_.isInProgress())
-      begun = std::min(begun, listener_.shutdown_.partialMessageDeadline());
-    // Whoever has never asked anything whole may be closed for those that have, as before its startup
-    // message.
-    const bool resting = requests_.empty() && !writing_;
-    stand(between && resting ? idle : asked_ ? busy : early);
-    if (!between && !co_await takePlace(begun)) co_return false;
-    const net::Deadline until{between ? sched::kNever : begun, &enough_};
-    between_ = between;
-    auto cause = enough_.isCancelled() ? ErrorCode::cancelled : co_await socket_->read(buffer_, until);
-    between_ = false;
-    stand(busy);
-    if (cause == ErrorCode::cancelled) cause = co_await lastRead(begun);
-    const bool ends = cause == ErrorCode::timedOut && enough_.isCancelled();
-    if (ends) co_await endBetween();
-    if (!ends && cause == ErrorCode::timedOut) co_await breakOff("a message that does not end");
-    if (cause != ErrorCode::none) co_return false;
-    lastReadAt_ = listener_.sched_.now();
-  }
-}
-
-// What is still read once the connection is wanted back: the rest of a message that has begun, and, as the
-// instance ends, a new connection's first. Else one look, which guards the request that has crossed the wish;
-// and no second one, as a client may always have a further request.
-net::Task<ErrorCode> ClientSession::lastRead(Nanoseconds begun) {
-  const bool waits = asked_ ? begun > 0 : listener_.shutdown_.isInProgress();
-  if (!waits) co_return std::exchange(looked_, true) ? ErrorCode::timedOut : socket_->tryRead(buffer_);
-  const net::Deadline until{begun > 0 ? begun : listener_.shutdown_.partialMessageDeadline(), nullptr};
-  const auto cause = co_await socket_->read(buffer_, until);
-  co_return cause;
-}
-
-net::Task<bool> ClientSession::takePlace(Nanoseconds latest) {
-  const auto size = pg::announcedSize(buffer_.view());
-  if (size <= kSmall || place_.isAcquired()) co_return true;
-  const net::Deadline until{latest, asked_ ? &gone_ : &enough_};
-  const auto reserved = co_await net::MemoryReservation::acquire(listener_.sched_, listener_.places_, size,
-                                                                 until, place_);
-  if (reserved != net::MemoryReservation::Result::acquired) co_return false;
-  buffer_.prepare(size + kSmall - buffer_.view().size()); // once, for all that comes
-  co_return true;
-}
-
-net::Task<bool> ClientSession::answer(pg::Message message) {
-  constexpr std::string_view kExtended = "PBDECHF";
-  if (skipping_ && message.type != 'S' && message.type != 'X') co_return true;
-  if (kExtended.find(message.type) != std::string_view::npos) {
-    skipping_ = message.type != 'F'; // a function call is answered at once
-    complain("0A000", "only simple queries are served here", !skipping_);
-    co_return true;
-  }
-  switch (message.type) {
-  case 'Q': {
-    std::string_view body = message.body, sql;
-    const bool whole = pg::takeText(body, sql) && body.empty();
-    if (!whole) {
-      co_await breakOff("a query without its closing zero");
-      co_return false;
+    const auto client = co_await flush();
+    if (client == ClientState::gone) co_return SessionFlow::end;
+    if (faults_ >= kFaultsPerThrottleStep) co_await throttle();
+    // To be closed, with requests in flight again: they are answered first.
+    if (closeToken_.isCancelled()) {
+      const auto drained = co_await drain();
+      if (drained == ClientState::gone) co_return SessionFlow::end;
     }
-    const auto statement = pg::parseStatement(sql);
-    const bool stays = co_await ownIdFree(statement);
-    if (stays) query(statement);
-    co_return stays;
-  }
-  case 'S': {
-    skipping_ = false;
-    pg::addReady(replies_.tail());
-    co_return true;
-  }
-  case 'd':
-  case 'c':
-  case 'f':
-    co_return true; // the rest of a copy that was refused
-  case 'X':
-    co_return false;
+    const bool isBetweenMessages = buffer_.empty();
+    if (!isBetweenMessages) messageDeadline = deadlineOfPartialMessage(messageDeadline);
+    // One on which nothing usable was asked may be closed for those that ask, as before its startup message.
+    const bool isIdle = isBetweenMessages && requests_.empty() && !isWriting_;
+    moveToList(isIdle ? ReclaimList::idle : hasBeenUsed() ? ReclaimList::none : ReclaimList::unused);
+    if (!isBetweenMessages) {
+      const auto reserved = co_await reserveMessageMemory(messageDeadline);
+      if (reserved == SessionFlow::end) co_return SessionFlow::end;
+    }
+    const net::Deadline deadline{isBetweenMessages ? sched::kNever : messageDeadline, &closeToken_};
+    isAwaitingMessage_ = isBetweenMessages;
+    auto error = ErrorCode::cancelled;
+    if (!closeToken_.isCancelled()) error = co_await socket_->read(buffer_, deadline);
+    isAwaitingMessage_ = false;
+    moveToList(ReclaimList::none);
+    if (error == ErrorCode::cancelled) error = co_await finalRead(messageDeadline);
+    const bool isTimedOut = error == ErrorCode::timedOut;
+    const bool isClosed = isTimedOut && closeToken_.isCancelled();
+    if (isClosed) co_await closeAtShutdown();
+    if (isTimedOut && !isClosed) co_await failConnection("a message that does not end");
+    if (error != ErrorCode::none) co_return SessionFlow::end;
+    lastReadAt_ = listener_.sched_.now();
   }
-  co_await breakOff("a message of unknown type");
-  co_return false;
 }
 
-bool ClientSession::isOwnOpenId(std::string_view id) const {
-  if (!listener_.openIds_.contains(id)) return false;
-  return replies_.holds(id) || (beingWritten_ != nullptr && holdsId(beingWritten_->replies, id));
+// `current`: as it was set when a part of the message had arrived before.
+Nanoseconds ClientSession::deadlineOfPartialMessage(Nanoseconds current) const {
+  auto deadline = current;
+  if (deadline == kNoMessageBegun)
+    deadline = hasBeenUsed() ? listener_.sched_.now() + kMessageTimeout : openedAt_ + kFirstMessageTimeout;
+  const auto &shutdown = listener_.shutdown_;
+  return shutdown.isInProgress() ? std::min(deadline, shutdown.partialMessageDeadline()) : deadline;
 }
 
-// A request with the id of an earlier one on the same connection waits for that one's answer, as it would
-// without pipelining. False: the client has gone.
-net::Task<bool> ClientSession::ownIdFree(const pg::Statement &statement) {
-  const net::Deadline until{sched::kNever, &gone_};
-  while (statement.kind == pg::Statement::req && isOwnOpenId(statement.id)) {
-    if (gone_.isCancelled()) co_return false;
-    co_await listener_.sched_.wait(changed_, until);
+// What is still read once the connection is to be closed: the rest of a message that has begun, and, as the
+// instance shuts down, a new connection's first message. Else one read without waiting, which guards a
+// request that has crossed the decision to close; and no second one, as a client may always have a further
+// request.
+net::Task<ErrorCode> ClientSession::finalRead(Nanoseconds messageDeadline) {
+  const bool hasBegun = messageDeadline > kNoMessageBegun;
+  const bool waits = hasBeenUsed() ? hasBegun : listener_.shutdown_.isInProgress();
+  if (!waits) {
+    if (closeRequest_ == CloseRequest::finalReadDone) co_return ErrorCode::timedOut;
+    closeRequest_ = CloseRequest::finalReadDone;
+    co_return socket_->tryRead(buffer_);
   }
-  co_return true;
+  const net::Deadline deadline{hasBegun ? messageDeadline : listener_.shutdown_.partialMessageDeadline(),
+                               nullptr};
+  const auto error = co_await socket_->read(buffer_, deadline);
+  co_return error;
 }
 
-void ClientSession::query(const pg::Statement &statement) {
-  auto &out = replies_.tail();
-  switch (statement.kind) {
-  case pg::Statement::req: {
-    const auto &routes = listener_.routes_;
-    const auto at = std::find(routes.begin(), routes.end(), statement.route);
-    if (at == routes.end()) return complain(statement.code, "the comment names an unknown route");
-    return begin(statement, static_cast<int>(at - routes.begin()));
-  }
-  case pg::Statement::malformed:
-    return complain(statement.code, statement.complaint);
-  case pg::Statement::empty:
-    pg::addEmptyAnswer(out);
-    break;
-  case pg::Statement::ping:
-    pg::addRow(out, "?column?", "1");
-    pg::addComplete(out, "SELECT 1");
-    break;
-  case pg::Statement::session: {
-    std::string tag(statement.verb);
-    std::transform(tag.begin(), tag.end(), tag.begin(),
-                   [](char c) { return static_cast<char>(c - 'a' + 'A'); });
-    pg::addComplete(out, tag == "DISCARD" ? "DISCARD ALL" : tag);
-    break;
-  }
-  }
-  pg::addReady(out);
-  asked_ = true;
+// Reserves memory for the message at the front of the buffer, if it is a large one.
+net::Task<SessionFlow> ClientSession::reserveMessageMemory(Nanoseconds messageDeadline) {
+  const auto size = pg::announcedSize(buffer_.view());
+  if (size <= kSmallMessageBytes || memory_.isAcquired()) co_return SessionFlow::proceed;
+  const net::Deadline deadline{messageDeadline, hasBeenUsed() ? &clientGone_ : &closeToken_};
+  const auto reserved = co_await net::MemoryReservation::acquire(listener_.sched_, listener_.messageMemory_,
+                                                                 size, deadline, memory_);
+  if (reserved != net::MemoryReservation::Result::acquired) co_return SessionFlow::end;
+  buffer_.prepare(size + kSmallMessageBytes - buffer_.view().size()); // once, for all that comes
+  co_return SessionFlow::proceed;
 }
 
 } // namespace myrtlehead::downstream
--- /dev/null
+++ b/src/downstream/client_session_messages.cpp
@@ -0,0 +1,101 @@
+// What each message of a client is answered.
+#include "downstream/client_session.h"
+
+#include <algorithm>
+
+namespace myrtlehead::downstream {
+
+void ClientSession::replyWithError(std::string_view code, std::string_view message, ReadyForQuery ready) {
+  ++faults_;
+  listener_.countFault(message);
+  auto &out = replies_.tail();
+  pg::addError(out, {"ERROR", code, message});
+  if (ready == ReadyForQuery::atOnce) pg::addReady(out);
+}
+
+net::Task<SessionFlow> ClientSession::handleMessage(pg::Message message) {
+  constexpr std::string_view kExtendedQueryTypes = "PBDECHF";
+  if (isSkippingToSync_ && message.type != 'S' && message.type != 'X') co_return SessionFlow::proceed;
+  if (kExtendedQueryTypes.find(message.type) != std::string_view::npos) {
+    isSkippingToSync_ = message.type != 'F'; // a function call is answered without Sync
+    replyWithError("0A000", "only simple queries are served here",
+                   isSkippingToSync_ ? ReadyForQuery::afterSync : ReadyForQuery::atOnce);
+    co_return SessionFlow::proceed;
+  }
+  switch (message.type) {
+  case 'Q': {
+    std::string_view body = message.body, sql;
+    const bool isComplete = pg::takeText(body, sql) && body.empty();
+    if (!isComplete) {
+      co_await failConnection("a query without its closing zero");
+      co_return SessionFlow::end;
+    }
+    const auto statement = pg::parseStatement(sql);
+    const auto client = co_await awaitOwnIdFree(statement);
+    if (client == ClientState::gone) co_return SessionFlow::end;
+    answerStatement(statement);
+    co_return SessionFlow::proceed;
+  }
+  case 'S': {
+    isSkippingToSync_ = false;
+    pg::addReady(replies_.tail());
+    co_return SessionFlow::proceed;
+  }
+  case 'd':
+  case 'c':
+  case 'f':
+    co_return SessionFlow::proceed; // the rest of a copy that was rejected
+  case 'X':
+    co_return SessionFlow::end;
+  }
+  co_await failConnection("a message of unknown type");
+  co_return SessionFlow::end;
+}
+
+bool ClientSession::isOwnOpenId(std::string_view id) const {
+  if (!listener_.openIds_.contains(id)) return false;
+  return replies_.hasId(id) || (beingWritten_ != nullptr && hasId(beingWritten_->replies, id));
+}
+
+// A request with the id of an earlier one on the same connection waits for that one's answer, as it would
+// without pipelining.
+net::Task<ClientState> ClientSession::awaitOwnIdFree(const pg::Statement &statement) {
+  const net::Deadline deadline{sched::kNever, &clientGone_};
+  while (statement.kind == pg::Statement::req && isOwnOpenId(statement.id)) {
+    if (clientGone_.isCancelled()) co_return ClientState::gone;
+    co_await listener_.sched_.wait(progressed_, deadline);
+  }
+  co_return ClientState::connected;
+}
+
+void ClientSession::answerStatement(const pg::Statement &statement) {
+  auto &out = replies_.tail();
+  switch (statement.kind) {
+  case pg::Statement::req: {
+    const auto &routes = listener_.routes_;
+    const auto at = std::find(routes.begin(), routes.end(), statement.route);
+    if (at == routes.end()) return replyWithError(statement.code, "the comment names an unknown route");
+    return startRequest(statement, static_cast<int>(at - routes.begin()));
+  }
+  case pg::Statement::malformed:
+    return replyWithError(statement.code, statement.complaint);
+  case pg::Statement::empty:
+    pg::addEmptyAnswer(out);
+    break;
+  case pg::Statement::ping:
+    pg::addRow(out, "?column?", "1");
+    pg::addComplete(out, "SELECT 1");
+    break;
+  case pg::Statement::session: {
+    std::string tag(statement.verb);
+    std::transform(tag.begin(), tag.end(), tag.begin(),
+                   [](char c) { return static_cast<char>(c - 'a' + 'A'); });
+    pg::addComplete(out, tag == "DISCARD" ? "DISCARD ALL" : tag);
+    break;
+  }
+  }
+  pg::addReady(out);
+  phase_ = Phase::used;
+}
+
+} // namespace myrtlehead::downstream
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -1,4 +1,4 @@
-// The clients' side: accepts connections, answers their queries, and ends well.
+// The clients' side: accepts connections, serves their queries, and shuts down gracefully.
 #pragma once
 
 #include "base/net/memory_budget.h"
@@ -8,31 +8,44 @@
 #include "router/router.h"
 #include "upstream/connection_pool.h"
 
+#include <list>
 #include <set>
 
 namespace myrtlehead::downstream {
 
+class ClientSession;
+
 class Listener {
 public:
+  // `routeTimeouts`: by the position in `routes`, how long a client waits for an answer at most.
+  // `messageMemory`: bytes for large messages of all clients. Throws std::system_error where `address` can't
+  // be bound.
   Listener(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
-           upstream::ConnectionPool &pool, log::Log &log, net::Address listen,
-           std::vector<std::string> routes, std::vector<Nanoseconds> routeTimeouts, std::size_t places);
+           upstream::ConnectionPool &pool, log::Log &log, net::Address address,
+           std::vector<std::string> routes, std::vector<Nanoseconds> routeTimeouts,
+           std::size_t messageMemory);
 
+  // Accepts connections until close().
   net::Task<> accept();
-  net::Task<> sweep(); // closes what has stood idle too long, for as long as the instance lives
-  // New connections and requests are still taken for a while, and what stands in the backlog then; after that
-  // idle connections go, the others as they are answered. Returns when none is left.
+  // Closes what has been idle too long, for as long as the instance runs.
+  net::Task<> sweep();
+  // Shuts down: new connections and requests are still accepted for a while, and then those in the backlog;
+  // after that idle connections are closed, the others as they are answered. Returns when none is left.
   net::Task<> close();
   net::Address address() const { return net::localAddress(*socket_); }
 
 private:
   friend class ClientSession;
-  bool mayStay();  // whether a connection just accepted may
-  bool makeRoom(); // false: no connection can be spared
-  void fault(std::string_view what);
-  void take(std::unique_ptr<net::Socket> accepted);
+  // Whether one of the connections could be closed for a new one.
+  enum class Reclaim { closedOne, nothingToClose };
+
+  bool hasDescriptorFor(); // a connection that was just accepted
+  void updateShortage();
+  Reclaim closeOneIdle();
+  void countFault(std::string_view what);
+  void startSession(std::unique_ptr<net::Socket> accepted);
   net::Task<> emptyBacklog();
-  void endAll();
+  void closeAllWhenAnswered();
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
   Router &router_;
@@ -40,20 +53,22 @@
   log::Log &log_;
   std::vector<std::string> routes_;
   std::vector<Nanoseconds> routeTimeouts_;
-  net::MemoryBudget places_; // for large messages
+  net::MemoryBudget messageMemory_; // for large messages
   std::unique_ptr<net::Socket> socket_;
-  sched::CancellationToken noMore_; // ends accept()
+  sched::CancellationToken acceptEnd_; // ends accept()
   graceful_shutdown::GracefulShutdown shutdown_;
-  bool short_ = false; // of descriptors
-  std::uint32_t sessions_ = 0;
-  std::list<class ClientSession *> all_;
-  // Those that may be closed, the longest first: parted with, not yet started, waiting for a request.
-  std::list<class ClientSession *> parted_, early_, idle_;
-  std::set<std::string, std::less<>> openIds_; // of the requests in hand
+  bool isShortOfDescriptors_ = false;
+  std::uint32_t sessionCount_ = 0; // since the start
+  std::list<ClientSession *> all_;
+  // Connections that may be closed, the one that may be closed for the longest time first.
+  std::list<ClientSession *> closing_;         // the client has been shown the connection's end
+  std::list<ClientSession *> unused_;          // nothing usable has been asked yet
+  std::list<ClientSession *> idle_;            // between requests
+  std::set<std::string, std::less<>> openIds_; // of the requests in flight
   pipelining_limits::PipeliningLimits pipeliningLimits_;
-  unsigned faults_ = 0; // of clients, since one was last logged
-  Nanoseconds faultSaid_ = 0;
-  sched::Event ended_;
+  unsigned unloggedFaults_ = 0; // of clients
+  Nanoseconds faultsLoggedAt_ = 0;
+  sched::Event sessionEnded_;
 };
 
 } // namespace myrtlehead::downstream
--- a/src/downstream/reply_queue.cpp
+++ b/src/downstream/reply_queue.cpp
@@ -5,15 +5,15 @@
 
 namespace myrtlehead::downstream {
 
-bool holdsId(const std::deque<PendingReply> &replies, std::string_view id) {
+bool hasId(const std::deque<PendingReply> &replies, std::string_view id) {
   return std::any_of(replies.begin(), replies.end(),
                      [id](const PendingReply &reply) { return reply.id.is(id); });
 }
 
-Batch ReplyQueue::take() {
+Batch ReplyQueue::takeComplete() {
   Batch out;
   out.text = std::exchange(text_, {});
-  while (!replies_.empty() && replies_.front().complete) {
+  while (!replies_.empty() && replies_.front().isComplete) {
     auto &reply = replies_.front();
     if (out.text.empty())
       out.text = std::move(reply.text);
--- a/src/downstream/reply_queue.h
+++ b/src/downstream/reply_queue.h
@@ -1,5 +1,5 @@
-// The answers of one connection, kept in the order of its commands: an answer that is complete is held until
-// all those ahead of it are. Plain state, no I/O.
+// The answers of one connection, in the order of its commands: an answer that is complete is kept until all
+// those ahead of it are. Plain state, no I/O.
 #pragma once
 
 #include "base/net/memory_budget.h"
@@ -12,43 +12,45 @@
 
 namespace myrtlehead::downstream {
 
+// The ids of all requests that are open, of all connections.
 using OpenIds = std::set<std::string, std::less<>>;
 
-// An id that is in use by a request, until its answer has been written.
+// An id that is open from its request's start until its answer has been written; removed when it is
+// destroyed.
 class OpenId {
 public:
   OpenId() = default;
-  OpenId(OpenIds &all, OpenIds::iterator at) : all_(&all), at_(at) {}
-  OpenId(OpenId &&other) noexcept : all_(std::exchange(other.all_, nullptr)), at_(other.at_) {}
+  OpenId(OpenIds &all, OpenIds::iterator position) : all_(&all), position_(position) {}
+  OpenId(OpenId &&other) noexcept : all_(std::exchange(other.all_, nullptr)), position_(other.position_) {}
   OpenId &operator=(OpenId &&other) noexcept {
     std::swap(all_, other.all_);
-    std::swap(at_, other.at_);
+    std::swap(position_, other.position_);
     return *this;
   }
   ~OpenId() {
-    if (all_ != nullptr) all_->erase(at_);
+    if (all_ != nullptr) all_->erase(position_);
   }
 
-  bool is(std::string_view id) const { return all_ != nullptr && *at_ == id; }
+  bool is(std::string_view id) const { return all_ != nullptr && *position_ == id; }
 
 private:
   OpenIds *all_ = nullptr;
-  OpenIds::iterator at_;
+  OpenIds::iterator position_;
 };
 
-// The answer to one request, and what stands behind it up to the next request's.
+// The answer to one request, and what follows it up to the next request's.
 struct PendingReply {
-  bool complete = false;
+  bool isComplete = false;
   std::string text;
-  std::string after;            // answers to messages behind the request that no endpoint is asked for
-  net::MemoryReservation place; // of a large answer, until it has been written
+  std::string after;             // answers to messages behind the request that no endpoint is asked for
+  net::MemoryReservation memory; // of a large answer, until it has been written
   OpenId id;
 };
 
-// Whether it is the id of one of them.
-bool holdsId(const std::deque<PendingReply> &replies, std::string_view id);
+// Whether one of them answers the request with this id.
+bool hasId(const std::deque<PendingReply> &replies, std::string_view id);
 
-// What may be written, with what it holds until that is done.
+// Bytes to be written, with what is released once that is done.
 struct Batch {
   std::string text;
   std::deque<PendingReply> replies;
@@ -56,13 +58,15 @@
 
 class ReplyQueue {
 public:
-  // The reply to a request that has been taken up. It keeps its address until it is taken.
+  // The reply to a request that is started. It keeps its address until takeComplete() takes it.
   PendingReply &add() { return replies_.emplace_back(); }
-  // Where the answer to a message goes that no endpoint is asked for.
+  // Where the answer to a message is appended that no endpoint is asked for.
   std::string &tail() { return replies_.empty() ? text_ : replies_.back().after; }
-  bool mayWrite() const { return !text_.empty() || (!replies_.empty() && replies_.front().complete); }
-  Batch take(); // all that may be written
-  bool holds(std::string_view id) const { return holdsId(replies_, id); }
+  bool mayWrite() const { return !text_.empty() || (!replies_.empty() && replies_.front().isComplete); }
+  // Removes all that may be written.
+  Batch takeComplete();
+  bool hasId(std::string_view id) const { return downstream::hasId(replies_, id); }
+  // Of all answers that it contains.
   std::size_t bytes() const;
 
 private:
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -150,9 +150,9 @@
     const auto part = c.reply.next(c.buffer.view(), m);
     if (part == pg::Reply::more) {
       const auto size = pg::announcedSize(c.buffer.view());
-      if (size > kSmall && !out.place.isAcquired()) {
+      if (size > kSmall && !out.memory.isAcquired()) {
         const auto reserved = co_await net::MemoryReservation::acquire(sched_, large_, size, until,
-                                                                       out.place);
+                                                                       out.memory);
         if (reserved != net::MemoryReservation::Result::acquired)
           co_return Failure{ErrorCode::timedOut, SendProgress::responseStarted};
         c.buffer.prepare(size + kSmall - c.buffer.view().size()); // once, for all that comes
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -18,9 +18,9 @@
 // What an attempt came to.
 struct AttemptResult {
   Outcome outcome = Outcome::unreachable;
-  std::string answer;           // completed: the row as the endpoint wrote it, to be passed on
-  std::vector<float> loads;     // the endpoint's load report, in the order of the deployment's fields
-  net::MemoryReservation place; // of a large answer, until it has been passed on
+  std::string answer;            // completed: the row as the endpoint wrote it, to be passed on
+  std::vector<float> loads;      // the endpoint's load report, in the order of the deployment's fields
+  net::MemoryReservation memory; // of a large answer, until it has been passed on
 };
 
 // From how far the attempt had come to what that proves.
