--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -96,7 +96,7 @@
     auto result = co_await listener_.pool_.attempt(*endpoint, statement, deadline, decision.sendBy,
                                                    [&] { return router.isStillCurrent(call); });
     listener_.log_.debug("attempt", {{"endpoint", endpoint->name},
-                                     {"outcome", word(result.outcome)},
+                                     {"outcome", nameOf(result.outcome)},
                                      {"load_fields", result.loads.size()}});
     if (!result.loads.empty()) router.onLoadReport(call, result.loads);
     if (clientGone_.isCancelled()) router.onClientDisconnected(call);
