--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -61,7 +61,7 @@
 int serve(Words &words) {
   if (!words.log.empty()) words.paths.logLevels = levelsOf(words.log);
   if (!words.logForm.empty())
-    words.paths.logForm = words.logForm == "json" ? log::Form::json : log::Form::text;
+    words.paths.logForm = words.logForm == "json" ? log::Format::json : log::Format::text;
   if (words.paths.configuration.empty())
     throw CLI::RequiredError("--config, or PROXY_CONFIG in the environment,");
   app::serve(words.paths);
--- a/src/base/http_client/persistent_connection.cpp
+++ b/src/base/http_client/persistent_connection.cpp
@@ -19,7 +19,7 @@
 void PersistentConnection::retire() {
   if (connection_ == nullptr) return;
   connection_->isReplaced = true;
-  if (connection_->pending.empty() || connection_->hasTimedOutCall) connection_->socket->shutDown();
+  if (connection_->pending.empty() || connection_->hasTimedOutCall) connection_->socket->shutdown();
   connection_ = nullptr;
 }
 
@@ -40,7 +40,7 @@
 // On success the new connection replaces the present one.
 net::Task<ErrorCode> PersistentConnection::open(net::Deadline until) {
   const auto addressChanged = addressChanged_;
-  until.stop = addressChanged.get();
+  until.cancellation = addressChanged.get();
   auto connected = co_await net::connect(sched_, budget_, to_, until);
   if (addressChanged->isCancelled()) co_return ErrorCode::cancelled;
   if (!connected) co_return connected.failure().cause;
@@ -88,7 +88,7 @@
   if (written != ErrorCode::none) {
     // The server waits for the rest of this request, so no later one can be understood.
     connection->hasEnded = true;
-    connection->socket->shutDown();
+    connection->socket->shutdown();
     closed_.notify();
     co_return Failure{written, SendProgress::partlyWritten};
   }
@@ -104,7 +104,7 @@
     // The response may have arrived in the same scheduler round as the deadline.
     if (woken == sched::WakeReason::notified || call.isFinished) continue;
     connection.hasTimedOutCall = true;
-    if (connection.isReplaced) connection.socket->shutDown();
+    if (connection.isReplaced) connection.socket->shutdown();
     co_return Failure{ErrorCode::timedOut, SendProgress::fullyWritten};
   }
   co_return call.failure;
--- a/src/control/peers/peer_transport.cpp
+++ b/src/control/peers/peer_transport.cpp
@@ -19,7 +19,7 @@
     if (message.bytes.size() > kMaxDatagramBytes) continue;
     if (!isForAll && message.to >= static_cast<int>(peers_.size())) continue;
     const auto &to = isForAll ? all_ : peers_[static_cast<std::size_t>(message.to)];
-    sendto(socket_->fd(), message.bytes.data(), message.bytes.size(), MSG_NOSIGNAL, to.raw(), to.size());
+    sendto(socket_->fd(), message.bytes.data(), message.bytes.size(), MSG_NOSIGNAL, to.asSockaddr(), to.size());
   }
 }
 
@@ -28,9 +28,9 @@
   for (unsigned received = 1;; ++received) {
     if (received % kDatagramsPerTurn == 0) co_await sched_.sleep(0);
     net::Address from;
-    socklen_t addressSize = sizeof from.at;
-    const auto size = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.raw(), &addressSize);
-    if (size < 0 && errno == EAGAIN) co_await socket_->readable({});
+    socklen_t addressSize = sizeof from.storage;
+    const auto size = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.asSockaddr(), &addressSize);
+    if (size < 0 && errno == EAGAIN) co_await socket_->waitReadable({});
     if (size <= 0 || static_cast<std::size_t>(size) > kMaxDatagramBytes) continue;
     const auto peer = std::find(peers_.begin(), peers_.end(), from);
     if (peer == peers_.end()) continue;
--- a/src/control/peers/peer_transport.h
+++ b/src/control/peers/peer_transport.h
@@ -14,7 +14,7 @@
   // one. Throws std::system_error where `listen` can't be bound.
   PeerTransport(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, net::Address listen,
                 std::vector<net::Address> peers, net::Address all)
-      : sched_(sched), socket_(net::datagramsAt(sched, budget, listen)), router_(router),
+      : sched_(sched), socket_(net::bindUdp(sched, budget, listen)), router_(router),
         peers_(std::move(peers)), all_(all) {}
 
   // These run for as long as the instance.
