--- a/src/control/peers/peer_transport.cpp
+++ b/src/control/peers/peer_transport.cpp
@@ -19,7 +19,8 @@
     if (message.bytes.size() > kMaxDatagramBytes) continue;
     if (!isForAll && message.to >= static_cast<int>(peers_.size())) continue;
     const auto &to = isForAll ? all_ : peers_[static_cast<std::size_t>(message.to)];
-    sendto(socket_->fd(), message.bytes.data(), message.bytes.size(), MSG_NOSIGNAL, to.asSockaddr(), to.size());
+    sendto(socket_->fd(), message.bytes.data(), message.bytes.size(), MSG_NOSIGNAL, to.asSockaddr(),
+           to.size());
   }
 }
 
