--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -134,7 +134,7 @@
   }
   log.info("asked to end: answers what it has taken");
   if (fleet != nullptr)
-    co_await fleet->close(); // first: its jobs' attempts need what the door's end may take
+    co_await fleet->shutDown(); // first: its jobs' attempts need what the door's end may take
   co_await door.close();
   log.info("ended");
   sched.halt();
@@ -214,7 +214,7 @@
   std::unique_ptr<cluster::ClusterMember> fleet;
   if (installation.fleet) {
     cluster::Routes routes{station.routes, {}};
-    for (const auto &r : station.deployment.routes) routes.kinds.push_back(r.idempotency);
+    for (const auto &r : station.deployment.routes) routes.idempotency.push_back(r.idempotency);
     fleet = std::make_unique<cluster::ClusterMember>(
         sched, budget, router, pool, *installation.fleet, std::move(routes), station.routeTimeouts,
         unixAtZero(sched.now()), station.seed + 5, logs.of("fleet"));
--- a/src/app/settings/cluster_settings.cpp
+++ b/src/app/settings/cluster_settings.cpp
@@ -1,96 +1,125 @@
+// Reads the [fleet] table: the members of the cluster, and the limits of its jobs.
 #include "app/settings/table_reader.h"
 
 namespace myrtlehead::settings {
 
 namespace {
 
-constexpr std::size_t kMostMembers = 1000;
+constexpr std::size_t kMaxMembers = 1000;
+constexpr std::size_t kMaxNameLength = 64;
+const char *const kExpectedAddress = "an address and port such as \"127.0.0.1:7601\"";
 
-bool validMember(const std::string &text) {
-  return !text.empty() && text.size() <= 64 && std::ranges::all_of(text, [](unsigned char c) {
+bool isMemberName(const std::string &text) {
+  return !text.empty() && text.size() <= kMaxNameLength && std::ranges::all_of(text, [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
   });
 }
 
+// The line at which the table begins.
+int lineOf(const toml::table &table) { return static_cast<int>(table.source().begin.line); }
+
+// Reads the key's address into `out`; false: it is missing or is none.
+bool readAddress(Reader &reader, const char *key, net::Address &out) {
+  bool isRead = false;
+  reader.word(key, kExpectedAddress, [&](const std::string &text) {
+    const auto address = net::parseAddress(text);
+    if (address) out = *address;
+    return isRead = address.has_value();
+  });
+  return isRead;
+}
+
+// One [[fleet.member]]; its name and address must be no other member's.
 void readMember(const toml::table &in, const std::string &path, cluster::Membership &out,
                 std::vector<Fault> &faults) {
   cluster::Member member;
-  bool placed = false;
+  bool hasAddress = false;
   {
-    Reader r(in, path, faults);
-    r.word("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
+    Reader reader(in, path, faults);
+    reader.word("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
       member.name = text;
-      return validMember(text);
-    });
-    r.word("address", "an address and port such as \"127.0.0.1:7601\"", [&](const std::string &text) {
-      const auto at = net::parseAddress(text);
-      if (at) member.at = *at;
-      return placed = at.has_value();
+      return isMemberName(text);
     });
+    hasAddress = readAddress(reader, "address", member.address);
   }
-  const int line = static_cast<int>(in.source().begin.line);
+  const int line = lineOf(in);
   if (member.name.empty()) faults.push_back({line, path + "name", "expected, but missing"});
-  if (!placed && !in.contains("address")) faults.push_back({line, path + "address", "expected, but missing"});
+  if (!hasAddress && !in.contains("address"))
+    faults.push_back({line, path + "address", "expected, but missing"});
   for (const auto &other : out.members)
-    if (other.name == member.name || (placed && other.at == member.at))
+    if (other.name == member.name || (hasAddress && other.address == member.address))
       faults.push_back({line, path + "name", "another member has this name or address: " + other.name});
   out.members.push_back(std::move(member));
 }
 
+void readMembers(Reader &reader, cluster::Membership &out, std::vector<Fault> &faults) {
+  const auto *node = reader.find("member");
+  if (node == nullptr) return;
+  const auto *list = node->as_array();
+  const bool isValid = list != nullptr && !list->empty() && list->size() <= kMaxMembers &&
+                       list->is_homogeneous<toml::table>();
+  if (!isValid) {
+    reader.fault(*node, "member", "1 to 1000 tables [[fleet.member]]");
+    return;
+  }
+  for (std::size_t i = 0; i < list->size(); ++i)
+    readMember(*list->get_as<toml::table>(i), "fleet.member[" + std::to_string(i) + "].", out, faults);
+}
+
+void readLimits(Reader &reader, cluster::Membership &out) {
+  auto &leases = out.leaseSettings;
+  reader.duration("claim", 500 * kMillisecond, 600 * kSecond, leases.leaseDuration);
+  reader.duration("drift", 0, 60 * kSecond, leases.maxClockSkew);
+  reader.duration("grace", 0, 600 * kSecond, leases.executionGrace);
+  reader.duration("keep_for", 60 * kSecond, 30 * kDay, leases.retention);
+  reader.duration("pause_first", kMillisecond, 60 * kSecond, leases.baseBackoff);
+  reader.duration("pause_most", kMillisecond, 3600 * kSecond, leases.maxBackoff);
+  reader.whole("starts", 1, 100, leases.maxStarts);
+  reader.whole("queue", 1, 100'000, out.maxOpenJobs);
+  reader.whole("slots", 0, 1000, out.maxRunningJobs);
+}
+
+// What must be there, and what must hold between keys.
+void checkMembership(const toml::table &in, const cluster::Membership &membership, bool hasListenAddress,
+                     std::vector<Fault> &faults) {
+  const int line = lineOf(in);
+  if (!hasListenAddress && !in.contains("listen"))
+    faults.push_back({line, "fleet.listen", "expected, but missing"});
+  if (membership.storeFolder.empty() && !in.contains("folder"))
+    faults.push_back({line, "fleet.folder", "expected, but missing"});
+  if (membership.members.empty() && !in.contains("member"))
+    faults.push_back({line, "fleet.member", "expected [[fleet.member]] tables, one for each member"});
+  if (membership.leaseSettings.maxClockSkew >= membership.leaseSettings.leaseDuration)
+    faults.push_back({line, "fleet.drift", "is not below claim: no claim could ever be used"});
+}
+
 } // namespace
 
 void readFleet(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
-  cluster::Membership m;
-  std::string name;
-  bool listens = false;
-  const int line = static_cast<int>(in.source().begin.line);
+  cluster::Membership membership;
+  std::string ownName;
+  bool hasListenAddress = false;
   {
-    Reader r(in, "fleet.", faults);
-    r.word("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
-      name = text;
-      return validMember(text);
+    Reader reader(in, "fleet.", faults);
+    reader.word("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
+      ownName = text;
+      return isMemberName(text);
     });
-    r.word("listen", "an address and port such as \"127.0.0.1:7601\"", [&](const std::string &text) {
-      const auto at = net::parseAddress(text);
-      if (at) m.listen = *at;
-      return listens = at.has_value();
-    });
-    r.word("folder", "the path of a folder that lasts", [&](const std::string &text) {
-      m.folder = text;
+    hasListenAddress = readAddress(reader, "listen", membership.listenAddress);
+    reader.word("folder", "the path of a folder that lasts", [&](const std::string &text) {
+      membership.storeFolder = text;
       return !text.empty();
     });
-    r.duration("claim", 500 * kMillisecond, 600 * kSecond, m.terms.claimFor);
-    r.duration("drift", 0, 60 * kSecond, m.terms.drift);
-    r.duration("grace", 0, 600 * kSecond, m.terms.grace);
-    r.duration("keep_for", 60 * kSecond, 30 * kDay, m.terms.keepFor);
-    r.duration("pause_first", kMillisecond, 60 * kSecond, m.terms.pauseFirst);
-    r.duration("pause_most", kMillisecond, 3600 * kSecond, m.terms.pauseMost);
-    r.whole("starts", 1, 100, m.terms.mostStarts);
-    r.whole("queue", 1, 100'000, m.queue);
-    r.whole("slots", 0, 1000, m.slots);
-    if (const auto *node = r.find("member"); node != nullptr) {
-      const auto *list = node->as_array();
-      if (list == nullptr || list->empty() || list->size() > kMostMembers ||
-          !list->is_homogeneous<toml::table>())
-        r.fault(*node, "member", "1 to 1000 tables [[fleet.member]]");
-      else
-        for (std::size_t i = 0; i < list->size(); ++i)
-          readMember(*list->get_as<toml::table>(i), "fleet.member[" + std::to_string(i) + "].", m, faults);
-    }
+    readLimits(reader, membership);
+    readMembers(reader, membership, faults);
   }
-  if (!listens && !in.contains("listen")) faults.push_back({line, "fleet.listen", "expected, but missing"});
-  if (m.folder.empty() && !in.contains("folder"))
-    faults.push_back({line, "fleet.folder", "expected, but missing"});
-  if (m.members.empty() && !in.contains("member"))
-    faults.push_back({line, "fleet.member", "expected [[fleet.member]] tables, one for each member"});
-  if (m.terms.drift >= m.terms.claimFor)
-    faults.push_back({line, "fleet.drift", "is not below claim: no claim could ever be used"});
-  const auto me = std::ranges::find(m.members, name, &cluster::Member::name);
-  if (me == m.members.end())
+  checkMembership(in, membership, hasListenAddress, faults);
+  const auto own = std::ranges::find(membership.members, ownName, &cluster::Member::name);
+  if (own == membership.members.end())
     faults.push_back(
-        {line, "fleet.name", "expected the name of one of [[fleet.member]], found '" + name + "'"});
-  m.ownIndex = static_cast<std::uint32_t>(me - m.members.begin());
-  out.fleet = std::move(m);
+        {lineOf(in), "fleet.name", "expected the name of one of [[fleet.member]], found '" + ownName + "'"});
+  membership.ownIndex = static_cast<std::uint32_t>(own - membership.members.begin());
+  out.fleet = std::move(membership);
 }
 
 } // namespace myrtlehead::settings
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -6,43 +6,57 @@
 
 namespace myrtlehead::cluster {
 
-using custody::How;
+using job_lease::ExecutionOutcome;
+using job_lease::ExecutionResult;
 
 namespace {
-Ran ran(How how, std::string reason) {
-  Ran out{how, std::move(reason)};
-  return out;
+
+ExecutionResult resultOf(ExecutionOutcome outcome, std::string reason) {
+  ExecutionResult result{outcome, std::move(reason)};
+  return result;
 }
+
 } // namespace
 
-net::Task<Ran> RoutedJobExecutor::run(JobRecord record, sched::CancellationToken &stop) {
-  const auto at = std::ranges::find(routes_.names, record.work.route);
+net::Task<ExecutionResult> RoutedJobExecutor::execute(JobRecord record,
+                                                      sched::CancellationToken &cancellation) {
+  const auto &routeName = record.statement.route;
+  const auto at = std::ranges::find(routes_.names, routeName);
   if (at == routes_.names.end())
-    co_return ran(How::failed, "this deployment has no route " + record.work.route);
+    co_return resultOf(ExecutionOutcome::failed, "this deployment has no route " + routeName);
   const auto route = static_cast<std::size_t>(at - routes_.names.begin());
-  const Nanoseconds patience = timeouts_[route], taken = sched_.now();
-  const auto sql = statementOf(record, patience);
+  const Nanoseconds timeout = routeTimeouts_[route];
+  const Nanoseconds receivedAt = sched_.now();
+  const auto sql = toSql(record, timeout);
   const auto statement = pg::parseStatement(sql);
-  if (statement.kind != pg::Statement::req) co_return ran(How::failed, statement.complaint);
-  RequestContext call(static_cast<int>(route), statement.key, patience, record.job.starts > 1, taken);
-  auto decision = co_await router_.nextAttempt(call, stop);
+  if (statement.kind != pg::Statement::req) co_return resultOf(ExecutionOutcome::failed, statement.complaint);
+  const bool isRetry = record.job.starts > 1;
+  RequestContext request(static_cast<int>(route), statement.key, timeout, isRetry, receivedAt);
+  co_return co_await runAttempts(statement, request, cancellation);
+}
+
+net::Task<ExecutionResult> RoutedJobExecutor::runAttempts(const pg::Statement &statement,
+                                                          RequestContext &request,
+                                                          sched::CancellationToken &cancellation) {
+  auto decision = co_await router_.nextAttempt(request, cancellation);
   bool mayHaveExecuted = false;
-  auto last = Outcome::notSent;
+  auto lastOutcome = Outcome::notSent;
   while (decision.action == AttemptDecision::forward) {
-    const net::Deadline until{decision.deadline, &stop};
-    auto tried = co_await pool_.attempt(*decision.endpoint, statement, until, decision.sendBy,
-                                        [&] { return router_.isStillCurrent(call); });
-    last = tried.outcome;
-    mayHaveExecuted = mayHaveExecuted || !neverExecuted(last);
-    if (!tried.loads.empty()) router_.onLoadReport(call, tried.loads);
-    if (stop.isCancelled()) router_.onClientDisconnected(call);
-    decision = router_.onAttemptFinished(call, last);
-    if (last == Outcome::succeeded) co_return ran(How::done, "");
+    const net::Deadline until{decision.deadline, &cancellation};
+    auto attempt = co_await pool_.attempt(*decision.endpoint, statement, until, decision.sendBy,
+                                          [&] { return router_.isStillCurrent(request); });
+    lastOutcome = attempt.outcome;
+    mayHaveExecuted = mayHaveExecuted || !neverExecuted(lastOutcome);
+    if (!attempt.loads.empty()) router_.onLoadReport(request, attempt.loads);
+    if (cancellation.isCancelled()) router_.onClientDisconnected(request);
+    decision = router_.onAttemptFinished(request, lastOutcome);
+    if (lastOutcome == Outcome::succeeded) co_return resultOf(ExecutionOutcome::succeeded, "");
   }
-  if (stop.isCancelled()) router_.onClientDisconnected(call);
-  if (!mayHaveExecuted)
-    co_return ran(How::neverExecuted, decision.action == AttemptDecision::shed ? "shed" : "no node for it");
-  co_return ran(How::failed, std::string("its last try ") + word(last));
+  if (cancellation.isCancelled()) router_.onClientDisconnected(request);
+  if (mayHaveExecuted)
+    co_return resultOf(ExecutionOutcome::failed, std::string("its last try ") + word(lastOutcome));
+  const bool isShed = decision.action == AttemptDecision::shed;
+  co_return resultOf(ExecutionOutcome::neverExecuted, isShed ? "shed" : "no node for it");
 }
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/job_record.h
+++ b/src/cluster/job_record.h
@@ -1,46 +1,46 @@
-// A job as it is submitted, kept in its register and told: JSON, checked field by field.
+// A job with what it executes, as its register stores it, as it is reported to clients, and as SQL.
 #pragma once
 
 #include "policy/job_lease.h"
 
 #include <optional>
 #include <string>
-#include <variant>
-#include <vector>
 
 namespace myrtlehead::cluster {
 
-// What the job has its endpoint do: one statement of the users' protocol, by its parts.
-struct Work {
-  std::string submitter, mark, route, key, value; // value: "" for one that only reads
-  bool operator==(const Work &) const = default;
+// What the job does at its endpoint: one statement on one row.
+struct JobStatement {
+  std::string submitter;
+  std::string idempotencyKey; // the submitter's; with `submitter` it identifies the job
+  std::string route;          // a name of the deployment's
+  std::string rowKey;         // hexadecimal
+  std::string rowValue;       // hexadecimal; "": the row is read
+  bool operator==(const JobStatement &) const = default;
 };
 
 struct JobRecord {
-  custody::Job job;
-  Work work;
+  job_lease::Job job;
+  JobStatement statement;
 };
 
-// What is wrong with a submission: the field, and what was expected of it.
-struct Refused {
-  std::string field, expected;
-};
+// The words of the submitters' JSON, in the order of the enum's values.
+extern const char *const kIdempotencyNames[3];
 
-struct Routes {
-  std::vector<std::string> names;
-  std::vector<Idempotency> kinds;
-};
+// The job's id, 16 hexadecimal digits: the same for the same submitter and idempotency key.
+std::string jobIdOf(const JobStatement &statement);
+// The key of the job's register.
+std::string registerKeyOf(const std::string &jobId);
+
+// The register's value.
+std::string toStoredJson(const JobRecord &record);
+// nullopt: no record, or not one of this version's form.
+std::optional<JobRecord> parseStoredJson(const std::string &text);
+
+// The answer to a client that asks for the job.
+std::string toStatusJson(const JobRecord &record);
 
-// A new job in its first state. `now`: Unix time, ns.
-std::variant<JobRecord, Refused> readSubmission(const std::string &body, const Routes &routes,
-                                                Nanoseconds now);
-
-std::string keyOf(const std::string &id); // of its register
-std::string text(const JobRecord &record);
-std::optional<JobRecord>
-readRecord(const std::string &text);       // nullopt: not one that this version has written
-std::string told(const JobRecord &record); // to who asks after the job
-std::string statementOf(const JobRecord &record,
-                        Nanoseconds patience); // with the mark, so that endpoints know a repeat
+// The statement in the users' protocol; it carries the job's id as idempotency key, by which endpoints
+// recognise a repeat.
+std::string toSql(const JobRecord &record, Nanoseconds timeout);
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/member_client.cpp
+++ b/src/cluster/member_client.cpp
@@ -5,29 +5,44 @@
 
 namespace myrtlehead::cluster {
 
-HttpMemberClient::HttpMemberClient(net::Scheduler &sched, net::DescriptorBudget &budget,
-                                   const Membership &membership) {
-  for (const auto &m : membership.members)
-    peers_.push_back(
-        {std::make_unique<http_client::PersistentConnection>(sched, budget, m.at), net::text(m.at)});
+namespace {
+
+namespace http = boost::beast::http;
+
+const char *pathOf(ConsensusCall phase) {
+  return phase == ConsensusCall::prepare ? "/fleet/promise" : "/fleet/accept";
 }
 
-net::Task<net::Result<HttpResponse>> HttpMemberClient::ask(std::uint32_t member, std::string what,
-                                                           std::string body, net::Deadline until) {
-  namespace http = boost::beast::http;
-  auto &peer = peers_[member];
-  if (peer.out >= kMostOut) co_return net::Failure{net::ErrorCode::refused, net::SendProgress::notConnected};
-  struct Out {
-    int &n;
-    ~Out() { --n; }
-  } out{++peer.out};
-  http::request<http::string_body> request(http::verb::post, "/fleet/" + what, 11, std::move(body));
-  request.set(http::field::host, peer.host);
+std::string postRequest(const char *path, const std::string &host, std::string body) {
+  http::request<http::string_body> request(http::verb::post, path, 11, std::move(body));
+  request.set(http::field::host, host);
   request.set(http::field::content_type, "application/json");
   request.prepare_payload();
   std::ostringstream text;
   text << request;
-  co_return co_await peer.line->call(std::move(text).str(), until);
+  return std::move(text).str();
+}
+
+} // namespace
+
+HttpMemberClient::HttpMemberClient(net::Scheduler &sched, net::DescriptorBudget &budget,
+                                   const Membership &membership) {
+  for (const auto &member : membership.members)
+    peers_.push_back({std::make_unique<http_client::PersistentConnection>(sched, budget, member.address),
+                      net::text(member.address)});
+}
+
+net::Task<net::Result<HttpResponse>> HttpMemberClient::call(std::uint32_t member, ConsensusCall phase,
+                                                            std::string body, net::Deadline until) {
+  auto &peer = peers_[member];
+  if (peer.callsInFlight >= kMaxCallsInFlight)
+    co_return net::Failure{net::ErrorCode::refused, net::SendProgress::notConnected};
+  struct InFlight {
+    int &count;
+    ~InFlight() { --count; }
+  } inFlight{++peer.callsInFlight};
+  auto request = postRequest(pathOf(phase), peer.host, std::move(body));
+  co_return co_await peer.connection->call(std::move(request), until);
 }
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/member_client.h
+++ b/src/cluster/member_client.h
@@ -1,37 +1,40 @@
-// The way from one member to another: a question, a deadline, and an answer or how far the question came.
-// Tasks know no more of it than this, so the laboratory runs them over links in memory.
+// Calls from one member to another: a request, a deadline, and a response or how far the request came. The
+// consensus code knows members through MemberClient alone, so the laboratory runs it over links in memory.
 #pragma once
 
 #include "base/http_client/persistent_connection.h"
+#include "cluster/http_message.h"
 #include "cluster/membership.h"
 
 #include <memory>
 
 namespace myrtlehead::cluster {
 
-using HttpResponse = http_client::Response; // status as in HTTP, and a body
+// What a proposer calls at an acceptor: the two phases of a proposal.
+enum class ConsensusCall { prepare, accept };
 
 class MemberClient {
 public:
   virtual ~MemberClient() = default;
-  virtual net::Task<net::Result<HttpResponse>> ask(std::uint32_t member, std::string what, std::string body,
-                                                   net::Deadline until) = 0;
+  // `body`: the call's JSON, see consensus_messages.
+  virtual net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusCall phase,
+                                                    std::string body, net::Deadline until) = 0;
 };
 
-// One standing HTTP connection for each member; a member that stalls keeps nobody else waiting. Questions
-// beyond kMostOut to one member fail at once, as unconnected.
+// One persistent HTTP connection for each member, so that a member that stalls delays no other. Calls beyond
+// kMaxCallsInFlight to one member fail at once, as not connected.
 class HttpMemberClient final : public MemberClient {
 public:
   HttpMemberClient(net::Scheduler &sched, net::DescriptorBudget &budget, const Membership &membership);
-  net::Task<net::Result<HttpResponse>> ask(std::uint32_t member, std::string what, std::string body,
-                                           net::Deadline until) override;
+  net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusCall phase, std::string body,
+                                            net::Deadline until) override;
 
 private:
-  static constexpr int kMostOut = 256;
+  static constexpr int kMaxCallsInFlight = 256;
   struct Peer {
-    std::unique_ptr<http_client::PersistentConnection> line;
+    std::unique_ptr<http_client::PersistentConnection> connection;
     std::string host;
-    int out = 0;
+    int callsInFlight = 0;
   };
   std::vector<Peer> peers_;
 };
--- a/src/cluster/register_store.cpp
+++ b/src/cluster/register_store.cpp
@@ -1,10 +1,10 @@
 #include "cluster/register_store.h"
 
+#include "cluster/sqlite_statement.h"
+
 #include <cerrno>
 #include <cstring>
 #include <filesystem>
-#include <sqlite3.h>
-#include <stdexcept>
 #include <sys/eventfd.h>
 #include <unistd.h>
 
@@ -12,208 +12,218 @@
 
 namespace {
 
-constexpr int kForm = 1;                // of the file
-constexpr std::size_t kMostBatch = 512; // writes in one transaction
-
-// A statement that ends with its scope. SQLite's own words where it can't be made.
-class Statement {
-public:
-  Statement(sqlite3 *db, const char *sql) {
-    if (sqlite3_prepare_v2(db, sql, -1, &at_, nullptr) != SQLITE_OK)
-      throw std::runtime_error(sqlite3_errmsg(db));
-  }
-  ~Statement() { sqlite3_finalize(at_); }
-  Statement(const Statement &) = delete;
-  Statement &operator=(const Statement &) = delete;
-  Statement &bind(const std::string &text) {
-    sqlite3_bind_blob(at_, ++n_, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
-    return *this;
-  }
-  Statement &bind(std::uint64_t v) {
-    sqlite3_bind_int64(at_, ++n_, static_cast<sqlite3_int64>(v));
-    return *this;
-  }
-  bool row() {
-    const int what = sqlite3_step(at_);
-    if (what != SQLITE_ROW && what != SQLITE_DONE)
-      throw std::runtime_error(sqlite3_errmsg(sqlite3_db_handle(at_)));
-    return what == SQLITE_ROW;
-  }
-  std::uint64_t number(int i) { return static_cast<std::uint64_t>(sqlite3_column_int64(at_, i)); }
-  std::string text(int i) {
-    const auto *at = static_cast<const char *>(sqlite3_column_blob(at_, i));
-    return at == nullptr ? "" : std::string(at, static_cast<std::size_t>(sqlite3_column_bytes(at_, i)));
-  }
-
-private:
-  sqlite3_stmt *at_ = nullptr;
-  int n_ = 0;
-};
+constexpr std::uint64_t kFormatVersion = 1;
+constexpr std::size_t kMaxBatchWrites = 512; // in one transaction
+constexpr sched::Nanoseconds kFinishedPollInterval = 500'000;
 
-void run(sqlite3 *db, const char *sql) {
-  if (sqlite3_exec(db, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
-    throw std::runtime_error(sqlite3_errmsg(db));
+void writeRegister(sqlite3 *db, const std::string &key, const consensus::AcceptorState &state) {
+  SqliteStatement(db, "INSERT OR REPLACE INTO registers VALUES (?, ?, ?, ?, ?, ?, ?, ?)")
+      .bind(key)
+      .bind(state.promised.round)
+      .bind(state.promised.incarnation)
+      .bind(state.promised.member)
+      .bind(state.accepted.round)
+      .bind(state.accepted.incarnation)
+      .bind(state.accepted.member)
+      .bind(state.value)
+      .step();
 }
 
-void write(sqlite3 *db, const std::string &key, const custody::Held &h, bool gone) {
-  if (gone) {
-    Statement(db, "DELETE FROM registers WHERE key = ?").bind(key).row();
-    return;
-  }
-  Statement(db, "INSERT OR REPLACE INTO registers VALUES (?, ?, ?, ?, ?, ?, ?, ?)")
-      .bind(key)
-      .bind(h.promised.round)
-      .bind(h.promised.life)
-      .bind(h.promised.member)
-      .bind(h.accepted.round)
-      .bind(h.accepted.life)
-      .bind(h.accepted.member)
-      .bind(h.value)
-      .row();
+void eraseRegister(sqlite3 *db, const std::string &key) {
+  SqliteStatement(db, "DELETE FROM registers WHERE key = ?").bind(key).step();
 }
 
-} // namespace
+consensus::Ballot ballotAt(SqliteStatement &row, int column) {
+  return {row.numberAt(column), row.numberAt(column + 1),
+          static_cast<std::uint32_t>(row.numberAt(column + 2))};
+}
 
-SqliteRegisterStore::SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder,
-                                         const std::string &of, std::uint64_t unixNow)
-    : sched_(sched), path_(folder + "/ledger.db") {
+// Throws std::runtime_error where the folder can't be made or written.
+void makeWritableFolder(const std::string &folder) {
   std::error_code error;
   std::filesystem::create_directories(folder, error);
   if (error || access(folder.c_str(), W_OK) != 0)
     throw std::runtime_error("fleet.folder: " + folder +
                              " can't be written: " + (error ? error.message() : std::strerror(errno)));
-  refusal = open(of, unixNow);
-  if (!refusal.empty()) {
-    sqlite3_close(db_);
-    db_ = nullptr;
-    for (const char *rest :
-         {"", "-wal", "-shm"}) // the log goes with its file, or it would be taken for the next one's
-      std::filesystem::rename(path_ + rest, path_ + ".refused" + rest, error);
-    if (const auto again = open(of, unixNow); !again.empty())
-      throw std::runtime_error("fleet.folder: " + path_ + ": " + again);
-  }
-  event_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (event_ < 0) throw std::runtime_error("no descriptor left for the fleet's ledger");
-  thread_ = std::thread([this] { this->run(); });
+}
+
+} // namespace
+
+SqliteRegisterStore::SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder,
+                                         const std::string &memberName, std::uint64_t unixNow)
+    : sched_(sched), path_(folder + "/ledger.db") {
+  makeWritableFolder(folder);
+  openOrSetAside(memberName, unixNow);
+  finishedEvent_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  if (finishedEvent_ < 0) throw std::runtime_error("no descriptor left for the fleet's ledger");
+  writer_ = std::thread([this] { runWriter(); });
 }
 
 SqliteRegisterStore::~SqliteRegisterStore() {
   {
     const std::lock_guard lock(mutex_);
-    over_ = true;
+    isClosing_ = true;
   }
-  handed_.notify_one();
-  thread_.join();
+  writerWake_.notify_one();
+  writer_.join();
   sqlite3_close(db_);
-  close(event_);
+  close(finishedEvent_);
 }
 
-std::string SqliteRegisterStore::open(const std::string &of, std::uint64_t unixNow) {
+void SqliteRegisterStore::openOrSetAside(const std::string &memberName, std::uint64_t unixNow) {
+  setAsideFor_ = open(memberName, unixNow);
+  if (!setAsideFor_) return;
+  sqlite3_close(db_);
+  db_ = nullptr;
+  std::error_code ignored;
+  // With its write-ahead log, which would be taken for the new file's otherwise.
+  for (const char *suffix : {"", "-wal", "-shm"})
+    std::filesystem::rename(path_ + suffix, path_ + ".refused" + suffix, ignored);
+  if (const auto error = open(memberName, unixNow))
+    throw std::runtime_error("fleet.folder: " + path_ + ": " + error->message);
+}
+
+std::optional<StorageError> SqliteRegisterStore::open(const std::string &memberName, std::uint64_t unixNow) {
   try {
-    if (sqlite3_open_v2(path_.c_str(), &db_,
-                        SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_FULLMUTEX,
-                        nullptr) != SQLITE_OK)
-      return sqlite3_errmsg(db_);
-    cluster::run(db_, "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL");
-    cluster::run(db_, "CREATE TABLE IF NOT EXISTS meta (form INTEGER, owner BLOB, life INTEGER)");
-    Statement meta(db_, "SELECT form, owner, life FROM meta");
-    if (meta.row()) {
-      if (meta.number(0) != kForm)
-        return "it has form " + std::to_string(meta.number(0)) + ", this program writes 1";
-      if (meta.text(1) != of)
-        return "it is the ledger of '" + meta.text(1) + "', this member is '" + of + "'";
-      life_ = meta.number(2);
-    }
-    life_ = std::max(life_ + 1, unixNow); // also above those of a ledger that was lost
-    cluster::run(
+    openDatabase();
+    if (auto error = readMeta(memberName)) return error;
+    // Above the stored one, and above those of a file that was lost.
+    incarnation_ = std::max(incarnation_ + 1, unixNow);
+    executeSql(
         db_,
         "CREATE TABLE IF NOT EXISTS registers (key BLOB PRIMARY KEY, pr INTEGER, pl INTEGER, pm INTEGER, "
         "ar INTEGER, al INTEGER, am INTEGER, value BLOB) WITHOUT ROWID; DELETE FROM meta");
-    Statement(db_, "INSERT INTO meta VALUES (?, ?, ?)").bind(kForm).bind(of).bind(life_).row();
-    load();
-    return "";
+    SqliteStatement(db_, "INSERT INTO meta VALUES (?, ?, ?)")
+        .bind(kFormatVersion)
+        .bind(memberName)
+        .bind(incarnation_)
+        .step();
+    loadRegisters();
+    return std::nullopt;
   } catch (const std::exception &e) {
-    return e.what();
+    return StorageError{e.what()};
   }
 }
 
-void SqliteRegisterStore::load() {
+void SqliteRegisterStore::openDatabase() {
+  constexpr int kFlags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_FULLMUTEX;
+  if (sqlite3_open_v2(path_.c_str(), &db_, kFlags, nullptr) != SQLITE_OK)
+    throw std::runtime_error(sqlite3_errmsg(db_));
+  executeSql(db_, "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL");
+}
+
+// The file's format, its member and that member's last incarnation; a new file has none.
+std::optional<StorageError> SqliteRegisterStore::readMeta(const std::string &memberName) {
+  executeSql(db_, "CREATE TABLE IF NOT EXISTS meta (form INTEGER, owner BLOB, life INTEGER)");
+  SqliteStatement meta(db_, "SELECT form, owner, life FROM meta");
+  if (!meta.step()) return std::nullopt;
+  const auto format = meta.numberAt(0);
+  const auto owner = meta.blobAt(1);
+  if (format != kFormatVersion)
+    return StorageError{"it has format " + std::to_string(format) + ", this program writes " +
+                        std::to_string(kFormatVersion)};
+  if (owner != memberName)
+    return StorageError{"it is the register store of '" + owner + "', this member is '" + memberName + "'"};
+  incarnation_ = meta.numberAt(2);
+  return std::nullopt;
+}
+
+void SqliteRegisterStore::loadRegisters() {
+  constexpr int kKey = 0;
+  constexpr int kPromised = 1; // three columns
+  constexpr int kAccepted = 4; // three columns
+  constexpr int kValue = 7;
   registers_.clear();
-  Statement all(db_, "SELECT * FROM registers");
-  const auto ballot = [&](int i) {
-    return custody::Ballot{all.number(i), all.number(i + 1), static_cast<std::uint32_t>(all.number(i + 2))};
-  };
-  while (all.row()) registers_[all.text(0)] = {ballot(1), ballot(4), all.text(7)};
+  SqliteStatement rows(db_, "SELECT * FROM registers");
+  while (rows.step())
+    registers_[rows.blobAt(kKey)] = {ballotAt(rows, kPromised), ballotAt(rows, kAccepted),
+                                     rows.blobAt(kValue)};
 }
 
-sched::Task<std::string> SqliteRegisterStore::keep(std::string key) {
-  const auto w = std::make_shared<Write>();
-  w->held = registers_[key];
-  w->key = std::move(key);
+sched::Task<std::optional<StorageError>> SqliteRegisterStore::persist(std::string key) {
+  const auto write = std::make_shared<Write>();
+  write->state = registers_[key];
+  write->key = std::move(key);
   {
     const std::lock_guard lock(mutex_);
-    waiting_.push_back(w);
+    pendingWrites_.push_back(write);
   }
-  handed_.notify_one();
-  while (!w->over) co_await sched_.wait(w->written);
-  co_return w->fault;
+  writerWake_.notify_one();
+  while (!write->isFinished) co_await sched_.wait(write->finished);
+  co_return write->error;
 }
 
-void SqliteRegisterStore::forget(const std::string &key) {
+// The writer isn't woken: the erase goes with the next write that somebody waits for.
+void SqliteRegisterStore::erase(const std::string &key) {
   registers_.erase(key);
-  const auto w = std::make_shared<Write>();
-  w->key = key, w->gone = true;
+  const auto write = std::make_shared<Write>();
+  write->key = key;
+  write->isErase = true;
   const std::lock_guard lock(mutex_);
-  waiting_.push_back(w); // goes with the next that somebody waits for
+  pendingWrites_.push_back(write);
 }
 
-sched::Task<> SqliteRegisterStore::wake() {
+sched::Task<> SqliteRegisterStore::notifyPersisted() {
   for (;;) {
-    std::uint64_t n = 0;
-    if (read(event_, &n, sizeof n) != sizeof n) {
-      co_await sched_.sleep(500'000); // the thread syncs a disk: a look each half millisecond is soon enough
+    std::uint64_t finishedBatches = 0;
+    if (read(finishedEvent_, &finishedBatches, sizeof finishedBatches) != sizeof finishedBatches) {
+      co_await sched_.sleep(kFinishedPollInterval); // short beside the sync of a disk
       continue;
     }
-    std::deque<std::shared_ptr<Write>> written;
+    Writes finished;
     {
       const std::lock_guard lock(mutex_);
-      written.swap(written_);
+      finished.swap(finishedWrites_);
+    }
+    for (auto &write : finished) {
+      write->isFinished = true;
+      write->finished.notify();
     }
-    for (auto &w : written) w->over = true, w->written.notify();
   }
 }
 
-void SqliteRegisterStore::run() {
+void SqliteRegisterStore::runWriter() {
   for (;;) {
-    std::deque<std::shared_ptr<Write>> batch;
-    {
-      std::unique_lock lock(mutex_);
-      handed_.wait(lock, [&] { return over_ || !waiting_.empty(); });
-      if (waiting_.empty()) return;
-      while (!waiting_.empty() && batch.size() < kMostBatch)
-        batch.push_back(std::move(waiting_.front())), waiting_.pop_front();
-    }
-    const auto fault = writeAll(batch);
-    for (auto &w : batch) w->fault = fault;
+    auto batch = nextBatch();
+    if (batch.empty()) return;
+    const auto error = writeBatch(batch);
+    for (auto &write : batch) write->error = error;
     {
       const std::lock_guard lock(mutex_);
-      for (auto &w : batch) written_.push_back(std::move(w));
+      for (auto &write : batch) finishedWrites_.push_back(std::move(write));
     }
     const std::uint64_t one = 1;
-    (void)!::write(event_, &one, sizeof one);
+    (void)!::write(finishedEvent_, &one, sizeof one);
   }
 }
 
-std::string SqliteRegisterStore::writeAll(const std::deque<std::shared_ptr<Write>> &batch) {
+// Waits for writes; empty once the store closes and none is left.
+SqliteRegisterStore::Writes SqliteRegisterStore::nextBatch() {
+  std::unique_lock lock(mutex_);
+  writerWake_.wait(lock, [&] { return isClosing_ || !pendingWrites_.empty(); });
+  Writes batch;
+  while (!pendingWrites_.empty() && batch.size() < kMaxBatchWrites) {
+    batch.push_back(std::move(pendingWrites_.front()));
+    pendingWrites_.pop_front();
+  }
+  return batch;
+}
+
+std::optional<StorageError> SqliteRegisterStore::writeBatch(const Writes &batch) {
   try {
-    cluster::run(db_, "BEGIN IMMEDIATE");
-    for (const auto &w : batch) cluster::write(db_, w->key, w->held, w->gone);
-    cluster::run(db_, "COMMIT");
-    return "";
+    executeSql(db_, "BEGIN IMMEDIATE");
+    for (const auto &write : batch) {
+      if (write->isErase)
+        eraseRegister(db_, write->key);
+      else
+        writeRegister(db_, write->key, write->state);
+    }
+    executeSql(db_, "COMMIT");
+    return std::nullopt;
   } catch (const std::exception &e) {
-    std::string why = e.what();
+    StorageError error{e.what()};
     sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
-    return why;
+    return error;
   }
 }
 
--- a/src/cluster/register_store.h
+++ b/src/cluster/register_store.h
@@ -1,5 +1,5 @@
-// What a member must not forget: its registers, and that it has lived before. A promise leaves only once it
-// is here.
+// The durable state of a member: its acceptors' registers, and its incarnation. A reply that promises
+// something leaves only once the register is persisted.
 #pragma once
 
 #include "base/sched/scheduler.h"
@@ -10,6 +10,7 @@
 #include <map>
 #include <memory>
 #include <mutex>
+#include <optional>
 #include <string>
 #include <thread>
 
@@ -17,60 +18,80 @@
 
 namespace myrtlehead::cluster {
 
-// The registers as they stand, in memory and in order of their keys; what changes them goes to the disk.
+// Why the storage has failed, in the words of the system or of SQLite.
+struct StorageError {
+  std::string message;
+};
+
+// The registers in memory, in the order of their keys; implementations write changes to a disk.
 class RegisterStore {
 public:
+  using Registers = std::map<std::string, consensus::AcceptorState>;
+
   virtual ~RegisterStore() = default;
-  custody::Held &held(const std::string &key) { return registers_[key]; }
-  const std::map<std::string, custody::Held> &all() const { return registers_; }
-  // Returns once the register, as it stands at the call, is on the disk. "": it is; otherwise why not, and
-  // nothing that rests on it may be said.
-  virtual sched::Task<std::string> keep(std::string key) = 0;
-  virtual void forget(const std::string &key) { registers_.erase(key); }
-  std::uint64_t life() const { return life_; }
+  // The register's state, created empty where there is none.
+  consensus::AcceptorState &stateOf(const std::string &key) { return registers_[key]; }
+  const Registers &all() const { return registers_; }
+  // Returns once the register, as it was at the call, is on the disk. After an error no reply may leave that
+  // depends on it.
+  virtual sched::Task<std::optional<StorageError>> persist(std::string key) = 0;
+  // Removes the register, without waiting for the disk.
+  virtual void erase(const std::string &key) { registers_.erase(key); }
+  // Greater than that of every earlier run of this member.
+  std::uint64_t incarnation() const { return incarnation_; }
 
 protected:
-  std::map<std::string, custody::Held> registers_;
-  std::uint64_t life_ = 1;
+  Registers registers_;
+  std::uint64_t incarnation_ = 1;
 };
 
-// In SQLite (WAL, synced), written by one thread, all that waits in one transaction. A file that is damaged,
-// another member's or of a later form is set aside as FILE.refused; `refusal` says so, and the ledger starts
-// empty.
+// In a SQLite file (WAL, synced), written by a thread of its own: all pending writes in one transaction. A
+// file that is damaged, another member's or of a later format is set aside as FILE.refused, and the store
+// starts empty.
 class SqliteRegisterStore final : public RegisterStore {
 public:
-  // Throws std::runtime_error with a sentence where the folder can't be written.
-  SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder, const std::string &of,
+  // `unixNow`: Unix time in ns. Throws std::runtime_error with a sentence where the folder can't be written.
+  SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder, const std::string &memberName,
                       std::uint64_t unixNow);
   ~SqliteRegisterStore() override;
-  sched::Task<std::string> keep(std::string key) override;
-  void forget(const std::string &key) override;
-  sched::Task<> wake(); // for as long as the instance lives: takes up what the thread has written
-  int eventFd() const { return event_; }
-  std::string refusal;
+  sched::Task<std::optional<StorageError>> persist(std::string key) override;
+  void erase(const std::string &key) override;
+  // Wakes those that wait in persist(). Runs for as long as the instance lives.
+  sched::Task<> notifyPersisted();
+  // Why the earlier file was set aside; nullopt: it was not.
+  const std::optional<StorageError> &setAsideFor() const { return setAsideFor_; }
 
 private:
   struct Write {
     std::string key;
-    custody::Held held;
-    bool gone = false;
-    bool over = false;
-    std::string fault;
-    sched::Event written;
+    consensus::AcceptorState state;
+    bool isErase = false;
+    bool isFinished = false;
+    std::optional<StorageError> error;
+    sched::Event finished;
   };
-  std::string open(const std::string &of, std::uint64_t unixNow); // "", or why the file is refused
-  void load();
-  void run();
-  std::string writeAll(const std::deque<std::shared_ptr<Write>> &batch);
+  using Writes = std::deque<std::shared_ptr<Write>>;
+
+  void openOrSetAside(const std::string &memberName, std::uint64_t unixNow);
+  std::optional<StorageError> open(const std::string &memberName, std::uint64_t unixNow);
+  void openDatabase();
+  std::optional<StorageError> readMeta(const std::string &memberName);
+  void loadRegisters();
+  void runWriter();
+  Writes nextBatch();
+  std::optional<StorageError> writeBatch(const Writes &batch);
+
   sched::Scheduler &sched_;
   std::string path_;
+  std::optional<StorageError> setAsideFor_;
   sqlite3 *db_ = nullptr;
-  int event_ = -1;
-  std::mutex mutex_;
-  std::condition_variable handed_;
-  std::deque<std::shared_ptr<Write>> waiting_, written_;
-  bool over_ = false;
-  std::thread thread_;
+  int finishedEvent_ = -1; // eventfd: the writer has finished a batch
+  std::mutex mutex_;       // guards what the two threads share: the queues and isClosing_
+  std::condition_variable writerWake_;
+  Writes pendingWrites_;
+  Writes finishedWrites_;
+  bool isClosing_ = false;
+  std::thread writer_;
 };
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/replicated_registers.cpp
+++ b/src/cluster/replicated_registers.cpp
@@ -1,175 +1,165 @@
 #include "cluster/replicated_registers.h"
 
-#include <nlohmann/json.hpp>
+#include "cluster/consensus_messages.h"
 
 namespace myrtlehead::cluster {
 
-using custody::Answer;
-using custody::Ballot;
-using custody::Count;
-using nlohmann::json;
+using consensus::AcceptorReply;
+using consensus::QuorumTally;
 
 namespace {
 
-constexpr net::Nanoseconds kPauseFirst = 5'000'000,
-                           kPauseMost = 640'000'000; // after a lost race, full jitter
-constexpr std::size_t kMostKey = 200, kMostValue = 16 * 1024;
+constexpr net::Nanoseconds kBaseBackoff = 5'000'000; // between proposals of one change; doubles with each
+constexpr net::Nanoseconds kMaxBackoff = 640'000'000;
+constexpr int kMaxBackoffDoublings = 10;
 
-json toJson(const Ballot &b) { return json::array({b.round, b.life, b.member}); }
+HttpResponse badRequest(const MalformedMessage &error) { return {400, error.message}; }
 
-Ballot ballotOf(const json &in) {
-  return {in.at(0).get<std::uint64_t>(), in.at(1).get<std::uint64_t>(), in.at(2).get<std::uint32_t>()};
-}
+} // namespace
 
-std::string text(const Answer &a) {
-  return json{
-      {"granted", a.granted}, {"seen", toJson(a.seen)}, {"accepted", toJson(a.accepted)}, {"value", a.value}}
-      .dump();
-}
+// One phase of a proposal. Shared by the proposer and its calls, as late replies come in after the proposer
+// has gone on.
+struct ReplicatedRegisters::Phase {
+  explicit Phase(int members) : tally(members), callsInFlight(members) {}
+  QuorumTally tally;
+  int callsInFlight;
+  sched::Event changed;
+};
 
-std::optional<Answer> answerOf(const std::string &text) {
-  try {
-    const auto in = json::parse(text);
-    return Answer{in.at("granted").get<bool>(), ballotOf(in.at("seen")), ballotOf(in.at("accepted")),
-                  in.at("value").get<std::string>()};
-  } catch (const json::exception &) {
-    return std::nullopt;
-  }
+ReplicatedRegisters::ReplicatedRegisters(net::Scheduler &sched, MemberClient &memberClient,
+                                         RegisterStore &store, std::uint32_t ownIndex,
+                                         std::uint32_t memberCount, std::uint64_t seed)
+    : sched_(sched), memberClient_(memberClient), store_(store), ownIndex_(ownIndex),
+      memberCount_(memberCount), lastAnsweredAt_(memberCount) {
+  random_.seed(static_cast<std::knuth_b::result_type>(seed ^ seed >> 32));
 }
 
-HttpResponse kept(const std::string &fault, const Answer &answer) {
-  HttpResponse out{200, ""};
-  out.status = fault.empty() ? 200 : 503;
-  out.body = fault.empty() ? text(answer) : "the disk takes nothing: " + fault;
-  return out;
+net::Task<HttpResponse> ReplicatedRegisters::onPrepare(std::string body) {
+  const auto request = parseConsensusRequest(body);
+  const auto *error = std::get_if<MalformedMessage>(&request);
+  if (error != nullptr) co_return badRequest(*error);
+  const auto &proposal = std::get<ConsensusRequest>(request);
+  const auto reply = consensus::prepare(store_.stateOf(proposal.key), proposal.ballot);
+  co_return co_await replyOncePersisted(proposal.key, reply);
 }
 
-HttpResponse badly(const json::exception &e) {
-  HttpResponse out{400, e.what()};
-  return out;
+net::Task<HttpResponse> ReplicatedRegisters::onAccept(std::string body) {
+  const auto request = parseConsensusRequest(body);
+  const auto *error = std::get_if<MalformedMessage>(&request);
+  if (error != nullptr) co_return badRequest(*error);
+  const auto &proposal = std::get<ConsensusRequest>(request);
+  const auto reply = consensus::accept(store_.stateOf(proposal.key), proposal.ballot, proposal.value);
+  co_return co_await replyOncePersisted(proposal.key, reply);
 }
 
-struct Asked {
-  std::string key, value;
-  Ballot ballot;
-};
-
-// Throws json::exception where it is none: the caller answers 400.
-Asked askedOf(const std::string &body) {
-  const auto in = json::parse(body);
-  Asked out{in.at("key").get<std::string>(), in.value("value", ""), ballotOf(in.at("ballot"))};
-  if (out.key.empty() || out.key.size() > kMostKey || out.value.size() > kMostValue)
-    throw json::other_error::create(501, "key or value too long", nullptr);
-  return out;
+// A rejection has changed nothing and leaves at once; anything else waits for the disk.
+net::Task<HttpResponse> ReplicatedRegisters::replyOncePersisted(const std::string &key,
+                                                                const AcceptorReply &reply) {
+  HttpResponse response{200, toJson(reply)};
+  if (!reply.granted) co_return response;
+  const auto error = co_await store_.persist(key);
+  if (error) {
+    response.status = 503;
+    response.body = "the disk takes nothing: " + error->message;
+  }
+  co_return response;
 }
 
-} // namespace
-
-// The answers of one phase, which come in while its proposer waits; late ones find it still there.
-struct ReplicatedRegisters::Phase {
-  explicit Phase(int members) : count(members), open(members) {}
-  Count count;
-  int open;
-  sched::Event more;
-};
-
-ReplicatedRegisters::ReplicatedRegisters(net::Scheduler &sched, MemberClient &links, RegisterStore &ledger,
-                                         std::uint32_t me, std::uint32_t members, std::uint64_t seed)
-    : sched_(sched), memberClient_(links), registerStore_(ledger), me_(me), members_(members),
-      answeredAt_(members) {
-  chance_.seed(static_cast<std::knuth_b::result_type>(seed ^ seed >> 32));
+net::Task<std::optional<AcceptorReply>> ReplicatedRegisters::replyOf(std::uint32_t member, ConsensusCall call,
+                                                                     std::string body, net::Deadline until) {
+  HttpResponse response;
+  if (member != ownIndex_) {
+    auto result = co_await memberClient_.call(member, call, std::move(body), until);
+    if (!result) co_return std::nullopt;
+    response = std::move(*result);
+  } else if (call == ConsensusCall::prepare) {
+    response = co_await onPrepare(std::move(body));
+  } else {
+    response = co_await onAccept(std::move(body));
+  }
+  if (response.status != 200) co_return std::nullopt;
+  co_return parseReply(response.body);
 }
 
-net::Task<HttpResponse> ReplicatedRegisters::promise(std::string body) {
-  Asked asked;
-  try {
-    asked = askedOf(body);
-  } catch (const json::exception &e) {
-    co_return badly(e);
+net::Task<> ReplicatedRegisters::callMember(std::uint32_t member, ConsensusCall call, std::string body,
+                                            net::Deadline until, std::shared_ptr<Phase> phase) {
+  const auto reply = co_await replyOf(member, call, std::move(body), until);
+  if (reply) {
+    lastAnsweredAt_[member] = sched_.now();
+    phase->tally.addReply(member, *reply);
+  } else {
+    phase->tally.addNoReply(member);
   }
-  const auto answer = custody::promise(registerStore_.held(asked.key), asked.ballot);
-  if (!answer.granted) co_return kept("", answer);
-  const auto fault = co_await registerStore_.keep(asked.key);
-  co_return kept(fault, answer);
+  --phase->callsInFlight;
+  phase->changed.notify();
 }
 
-net::Task<HttpResponse> ReplicatedRegisters::accept(std::string body) {
-  Asked asked;
-  try {
-    asked = askedOf(body);
-  } catch (const json::exception &e) {
-    co_return badly(e);
+// Returns once a quorum has granted, none can any more, or the deadline has passed.
+net::Task<QuorumTally> ReplicatedRegisters::callAll(ConsensusCall call, const ConsensusRequest &request,
+                                                    net::Deadline until) {
+  const auto body = toJson(request);
+  const auto phase = std::make_shared<Phase>(static_cast<int>(memberCount_));
+  for (std::uint32_t member = 0; member < memberCount_; ++member)
+    sched_.spawn(callMember(member, call, body, until, phase));
+  while (!phase->tally.isReached() && !phase->tally.isUnreachable() && phase->callsInFlight > 0) {
+    const auto woken = co_await sched_.wait(phase->changed, until);
+    if (woken != sched::WakeReason::notified) break;
   }
-  const auto answer = custody::accept(registerStore_.held(asked.key), asked.ballot, asked.value);
-  if (!answer.granted) co_return kept("", answer);
-  const auto fault = co_await registerStore_.keep(asked.key);
-  co_return kept(fault, answer);
+  co_return phase->tally;
 }
 
-net::Task<> ReplicatedRegisters::askOne(std::uint32_t member, std::string what, std::string body,
-                                        net::Deadline until, std::shared_ptr<Phase> phase) {
-  std::optional<Answer> answer;
-  if (member == me_) {
-    HttpResponse own;
-    if (what == "promise")
-      own = co_await promise(std::move(body));
-    else
-      own = co_await accept(std::move(body));
-    if (own.status == 200) answer = answerOf(own.body);
-  } else {
-    auto said = co_await memberClient_.ask(member, std::move(what), std::move(body), until);
-    if (said && said->status == 200) answer = answerOf(said->body);
+// One proposal. `result` keeps what an earlier proposal of the same change came to, unless this one learns
+// more.
+net::Task<ReplicatedRegisters::ProposalEnd> ReplicatedRegisters::propose(const std::string &key,
+                                                                         const Transition &transition,
+                                                                         net::Deadline until,
+                                                                         ChangeResult &result) {
+  ConsensusRequest request{key, {++round_, store_.incarnation(), ownIndex_}, ""};
+  const auto promises = co_await callAll(ConsensusCall::prepare, request, until);
+  round_ = std::max(round_, promises.highestRound());
+  if (!promises.isReached()) co_return ProposalEnd::undecided;
+
+  const auto next = transition(promises.value());
+  result.value = next ? *next : promises.value();
+  if (!next && result.value.empty()) {
+    result.outcome = ChangeOutcome::unchanged;
+    co_return ProposalEnd::decided;
   }
-  if (answer) {
-    answeredAt_[member] = sched_.now();
-    phase->count.heard(member, *answer);
-  } else {
-    phase->count.silent(member);
+  // A read is a write of the current value: what a minority holds may be a change that is being made.
+  request.value = result.value;
+  const auto accepts = co_await callAll(ConsensusCall::accept, request, until);
+  round_ = std::max(round_, accepts.highestRound());
+  if (accepts.isReached()) {
+    result.outcome = next ? ChangeOutcome::applied : ChangeOutcome::unchanged;
+    co_return ProposalEnd::decided;
   }
-  --phase->open;
-  phase->more.notify();
+  result.outcome = next ? ChangeOutcome::unknown : ChangeOutcome::noQuorum;
+  co_return ProposalEnd::undecided;
 }
 
-net::Task<Count> ReplicatedRegisters::askAll(std::string what, std::string key, Ballot ballot,
-                                             std::string value, net::Deadline until) {
-  const auto body = json{{"key", key}, {"ballot", toJson(ballot)}, {"value", value}}.dump();
-  const auto phase = std::make_shared<Phase>(static_cast<int>(members_));
-  for (std::uint32_t m = 0; m < members_; ++m) sched_.spawn(askOne(m, what, body, until, phase));
-  while (!phase->count.reached() && !phase->count.lost() && phase->open > 0) {
-    const auto woken = co_await sched_.wait(phase->more, until);
-    if (woken != sched::WakeReason::notified) break;
-  }
-  co_return phase->count;
+// Full jitter, so that proposers that raced don't race again.
+net::Nanoseconds ReplicatedRegisters::backoffAfter(int undecided) {
+  const auto longest = std::min(kBaseBackoff << std::min(undecided, kMaxBackoffDoublings), kMaxBackoff);
+  const double jitter = std::uniform_real_distribution<double>(0, 1)(random_);
+  return static_cast<net::Nanoseconds>(jitter * static_cast<double>(longest));
 }
 
-net::Task<Changed> ReplicatedRegisters::change(std::string key, Step step, net::Deadline until) {
-  Changed out;
-  for (int lost = 0; sched_.now() < until.at; ++lost) {
-    const Ballot ballot{++round_, registerStore_.life(), me_};
-    const auto promised = co_await askAll("promise", key, ballot, "", until);
-    round_ = std::max(round_, promised.round());
-    if (promised.reached()) {
-      auto next = step(promised.value());
-      const bool wanted = next.has_value();
-      // A read is a write of what stands: what a minority holds may be a change that is being made.
-      const auto value = wanted ? *next : promised.value();
-      out.value = value;
-      if (!wanted) out.what = Changed::unwanted;
-      if (!wanted && value.empty()) co_return out;
-      const auto accepted = co_await askAll("accept", key, ballot, value, until);
-      round_ = std::max(round_, accepted.round());
-      if (accepted.reached()) {
-        out.what = wanted ? Changed::made : Changed::unwanted;
-        co_return out;
-      }
-      out.what = wanted ? Changed::unknown : Changed::noMajority;
-    }
-    const auto most = std::min(kPauseFirst << std::min(lost, 10), kPauseMost);
-    const auto pause = static_cast<net::Nanoseconds>(draw() * static_cast<double>(most));
-    const auto woken = co_await sched_.sleep(pause, until.stop);
+net::Task<ChangeResult> ReplicatedRegisters::change(std::string key, Transition transition,
+                                                    net::Deadline until) {
+  ChangeResult result;
+  for (int undecided = 0; sched_.now() < until.at; ++undecided) {
+    const auto end = co_await propose(key, transition, until, result);
+    if (end == ProposalEnd::decided) break;
+    const auto backoff = backoffAfter(undecided);
+    const auto woken = co_await sched_.sleep(backoff, until.stop);
     if (woken == sched::WakeReason::cancelled) break;
   }
-  co_return out;
+  co_return result;
+}
+
+net::Task<ChangeResult> ReplicatedRegisters::read(std::string key, net::Deadline until) {
+  const Transition none = [](const std::string &) -> std::optional<std::string> { return std::nullopt; };
+  return change(std::move(key), none, until);
 }
 
 } // namespace myrtlehead::cluster
--- a/src/policy/consensus_register.cpp
+++ b/src/policy/consensus_register.cpp
@@ -2,35 +2,38 @@
 
 #include <algorithm>
 
-namespace myrtlehead::custody {
+namespace myrtlehead::consensus {
 
-Answer promise(Held &held, Ballot ballot) {
-  if (ballot < held.promised) return {false, held.promised, {}, ""};
-  held.promised = ballot;
-  return {true, ballot, held.accepted, held.value};
+AcceptorReply prepare(AcceptorState &state, Ballot ballot) {
+  if (ballot < state.promised) return {false, state.promised, {}, ""};
+  state.promised = ballot;
+  return {true, ballot, state.accepted, state.value};
 }
 
-// A ballot that no promise was asked for is as good where none higher was given: the proposer's majority was
-// another.
-Answer accept(Held &held, Ballot ballot, const std::string &value) {
-  if (ballot < held.promised) return {false, held.promised, {}, ""};
-  held = {ballot, ballot, value};
+// A ballot that this member never promised is accepted too, unless it has promised a higher one: the
+// proposer's quorum of promises came from other members.
+AcceptorReply accept(AcceptorState &state, Ballot ballot, const std::string &value) {
+  if (ballot < state.promised) return {false, state.promised, {}, ""};
+  state = {ballot, ballot, value};
   return {true, ballot, ballot, ""};
 }
 
-void Count::heard(std::uint32_t member, const Answer &answer) {
-  seen_ = std::max(seen_, answer.seen);
-  if (!answer.granted) {
-    if (!yes_.contains(member)) no_.insert(member);
+void QuorumTally::addReply(std::uint32_t member, const AcceptorReply &reply) {
+  highestPromised_ = std::max(highestPromised_, reply.highestPromised);
+  if (!reply.granted) {
+    addNoReply(member);
     return;
   }
-  if (no_.contains(member)) return;
-  yes_.insert(member);
-  if (answer.accepted > accepted_) accepted_ = answer.accepted, value_ = answer.value;
+  if (notGranted_.contains(member)) return;
+  granted_.insert(member);
+  if (reply.accepted > highestAccepted_) {
+    highestAccepted_ = reply.accepted;
+    value_ = reply.value;
+  }
 }
 
-void Count::silent(std::uint32_t member) {
-  if (!yes_.contains(member)) no_.insert(member);
+void QuorumTally::addNoReply(std::uint32_t member) {
+  if (!granted_.contains(member)) notGranted_.insert(member);
 }
 
-} // namespace myrtlehead::custody
+} // namespace myrtlehead::consensus
--- a/src/policy/consensus_register.h
+++ b/src/policy/consensus_register.h
@@ -1,7 +1,7 @@
-// A register that a majority of the members keeps: read and changed by ballots, one decree at a time
-// (single-decree Paxos with the value carried on, as in CASPaxos). No I/O and no clock: what one member
-// holds, and what a proposer may make of the answers. A change is a function of the value as it stands, so a
-// lost race is asked anew.
+// A replicated register: single-decree Paxos that carries its value on, as in CASPaxos. The value is read and
+// changed by proposals in two phases (prepare, accept), each of which needs a quorum of the members. No I/O
+// and no clock: an acceptor's state with its answers, and a proposer's tally of them. A change is a function
+// of the current value, so a proposer that lost a race evaluates it again.
 #pragma once
 
 #include <compare>
@@ -9,56 +9,65 @@
 #include <set>
 #include <string>
 
-namespace myrtlehead::custody {
+namespace myrtlehead::consensus {
 
-// Greater ones win. No two proposals share one: `member` is the proposer's number, `life` is another in each
-// of its lives, and a life uses a round once.
+// Orders proposals; the greater ballot wins. No two proposals share one: `member` is the proposer's index,
+// `incarnation` differs in each of its runs, and one incarnation uses a round once.
 struct Ballot {
-  std::uint64_t round = 0, life = 0;
+  std::uint64_t round = 0;
+  std::uint64_t incarnation = 0;
   std::uint32_t member = 0;
   auto operator<=>(const Ballot &) const = default;
 };
 
-// What a member holds of one register. It must be on its disk before an answer leaves that has changed it.
-struct Held {
-  Ballot promised, accepted;
+// An acceptor's state of one register. It must be on its disk before a reply leaves that has changed it.
+struct AcceptorState {
+  Ballot promised;   // nothing below it is promised or accepted any more
+  Ballot accepted;   // the ballot under which `value` was accepted
   std::string value; // "" while nothing was accepted
-  bool operator==(const Held &) const = default;
+  bool operator==(const AcceptorState &) const = default;
 };
 
-struct Answer {
+// An acceptor's reply to either phase.
+struct AcceptorReply {
   bool granted = false;
-  Ballot seen;     // the highest that the member has promised
-  Ballot accepted; // with `value`, of a granted promise: what stood before
-  std::string value;
+  Ballot highestPromised;
+  Ballot accepted;   // of a granted prepare, with `value`: the last accepted proposal
+  std::string value; // "" in every other reply
 };
 
-// A promise to heed nothing below the ballot; again for the same ballot, as an answer may have been lost.
-Answer promise(Held &held, Ballot ballot);
-Answer accept(Held &held, Ballot ballot, const std::string &value);
+// Phase 1: promises to ignore lower ballots. Granted again for the same ballot, as the first reply may have
+// been lost.
+AcceptorReply prepare(AcceptorState &state, Ballot ballot);
+// Phase 2: accepts the value unless a higher ballot was promised.
+AcceptorReply accept(AcceptorState &state, Ballot ballot, const std::string &value);
 
-constexpr int majorityOf(int members) { return members / 2 + 1; }
+// The smallest number of members of which any two sets share one.
+constexpr int quorumOf(int members) { return members / 2 + 1; }
 
-// A proposer's count of one phase.
-class Count {
+// A proposer's tally of the replies to one phase. Each member counts once, by its first answer.
+class QuorumTally {
 public:
-  explicit Count(int members) : members_(members) {}
-  void heard(std::uint32_t member, const Answer &answer); // a second answer of a member counts once
-  void silent(std::uint32_t member);                      // it gave none: neither yes nor no
-  bool reached() const { return static_cast<int>(yes_.size()) >= majorityOf(members_); }
-  bool lost() const {
-    return members_ - static_cast<int>(no_.size()) < majorityOf(members_);
-  } // can't be any more
-  // Of the answers so far: what the register may hold, which a proposer must carry on, and the highest
-  // ballot.
+  explicit QuorumTally(int members) : members_(members) {}
+  void addReply(std::uint32_t member, const AcceptorReply &reply);
+  // The member did not answer: it counts as not granting.
+  void addNoReply(std::uint32_t member);
+
+  bool isReached() const { return static_cast<int>(granted_.size()) >= quorumOf(members_); }
+  // Too many members have not granted: no further reply can make up a quorum.
+  bool isUnreachable() const { return members_ - static_cast<int>(notGranted_.size()) < quorumOf(members_); }
+  // The value accepted under the highest ballot of all granted replies, which the proposer must carry on.
   const std::string &value() const { return value_; }
-  std::uint64_t round() const { return seen_.round; }
+  // The highest round that any reply has named.
+  std::uint64_t highestRound() const { return highestPromised_.round; }
 
 private:
   int members_;
-  std::set<std::uint32_t> yes_, no_;
-  Ballot accepted_, seen_;
+  std::set<std::uint32_t> granted_;
+  std::set<std::uint32_t> notGranted_;
+  Ballot highestAccepted_;
+  Ballot highestPromised_;
   std::string value_;
 };
 
-} // namespace myrtlehead::custody
+} // namespace myrtlehead::consensus
--- a/src/policy/job_lease.cpp
+++ b/src/policy/job_lease.cpp
@@ -3,90 +3,110 @@
 #include <algorithm>
 #include <xxhash.h>
 
-namespace myrtlehead::custody {
+namespace myrtlehead::job_lease {
 
 namespace {
 
-constexpr Nanoseconds kTurn = 150 * kMillisecond; // for each member before: about what a claim takes
+// For each member that comes before: about the time that acquiring a lease takes.
+constexpr Nanoseconds kClaimDelayStep = 150 * kMillisecond;
+constexpr int kMaxBackoffDoublings = 20;
 
 // Whether a job that may have run already may be started again.
-bool mayRepeat(const Job &job, Nanoseconds now, const Terms &terms) {
-  if (job.starts >= terms.mostStarts) return false;
-  if (job.kind == Idempotency::idempotent) return true;
-  return job.kind == Idempotency::idempotentWithKey && now + terms.drift < job.firstBegun + job.window;
+bool mayRestart(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
+  if (job.starts >= settings.maxStarts) return false;
+  if (job.idempotency == Idempotency::idempotent) return true;
+  return job.idempotency == Idempotency::idempotentWithKey &&
+         now + settings.maxClockSkew < job.firstStartedAt + job.idempotencyWindow;
 }
 
-const char *whyNot(const Job &job, const Terms &terms) {
-  if (job.starts >= terms.mostStarts) return "started as often as may be, and its outcome is not known";
-  return job.kind == Idempotency::idempotentWithKey
+const char *whyNotRestarted(const Job &job, const LeaseSettings &settings) {
+  if (job.starts >= settings.maxStarts) return "started as often as may be, and its outcome is not known";
+  return job.idempotency == Idempotency::idempotentWithKey
              ? "its outcome is not known, and the window of its mark is over"
              : "its outcome is not known, and it may not run twice";
 }
 
+Job finished(Job job, JobState state, const std::string &reason) {
+  job.state = state;
+  job.reason = reason;
+  return job;
+}
+
+Job queuedAgain(Job job, const std::string &reason, Nanoseconds now, double jitter,
+                const LeaseSettings &settings) {
+  const Nanoseconds backoff = std::min(settings.baseBackoff << std::min(job.starts, kMaxBackoffDoublings),
+                                       settings.maxBackoff);
+  job.state = JobState::queued;
+  job.notBefore = now + static_cast<Nanoseconds>(jitter * static_cast<double>(backoff));
+  job.reason = reason;
+  return job;
+}
+
 } // namespace
 
-May mayClaim(const Job &job, Nanoseconds now, const Terms &terms) {
-  if (over(job.state) || forgotten(job, now, terms)) return {};
-  const bool lost = job.state == State::claimed || job.state == State::begun;
-  const Nanoseconds free = job.until + terms.drift + (job.state == State::begun ? terms.grace : 0);
-  if (lost && now < free) return {May::wait, free, ""};
-  if (now >= job.due) return {May::giveUp, 0, "its due time has passed"};
-  if (job.state == State::begun && !mayRepeat(job, now, terms)) return {May::giveUp, 0, whyNot(job, terms)};
-  if (now < job.notBefore) return {May::wait, job.notBefore, ""};
-  return {May::claim, 0, ""};
+LeaseDecision decideLease(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
+  if (isFinished(job.state) || isRetentionOver(job, now, settings)) return {};
+  const bool isHeld = job.state == JobState::leased || job.state == JobState::started;
+  const Nanoseconds grace = job.state == JobState::started ? settings.executionGrace : 0;
+  const Nanoseconds freeAt = job.leaseExpiresAt + settings.maxClockSkew + grace;
+  if (isHeld && now < freeAt) return {LeaseAction::wait, freeAt, ""};
+  if (now >= job.dueAt) return {LeaseAction::abandon, 0, "its due time has passed"};
+  if (job.state == JobState::started && !mayRestart(job, now, settings))
+    return {LeaseAction::abandon, 0, whyNotRestarted(job, settings)};
+  if (now < job.notBefore) return {LeaseAction::wait, job.notBefore, ""};
+  return {LeaseAction::acquire, 0, ""};
 }
 
-Nanoseconds turnOf(const std::string &id, std::uint32_t member, std::uint32_t members) {
-  const auto weight = [&](std::uint32_t m) { return XXH64(id.data(), id.size(), m + 1); };
-  std::uint32_t before = 0;
-  for (std::uint32_t m = 0; m < members; ++m) before += weight(m) > weight(member);
-  return before * kTurn;
+Nanoseconds claimDelay(const std::string &id, std::uint32_t member, std::uint32_t members) {
+  const auto rank = [&](std::uint32_t m) { return XXH64(id.data(), id.size(), m + 1); };
+  std::uint32_t membersBefore = 0;
+  for (std::uint32_t m = 0; m < members; ++m) membersBefore += rank(m) > rank(member);
+  return membersBefore * kClaimDelayStep;
 }
 
-bool forgotten(const Job &job, Nanoseconds now, const Terms &terms) { return now >= job.due + terms.keepFor; }
+bool isRetentionOver(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
+  return now >= job.dueAt + settings.retention;
+}
 
-Job claimed(Job job, std::uint32_t member, std::uint64_t life, Nanoseconds now, const Terms &terms) {
-  job.state = State::claimed;
-  job.holder = member, job.life = life, job.until = now + terms.claimFor;
-  return job;
+bool mayStart(const Job &job, const LeaseHolder &holder, Nanoseconds now, const LeaseSettings &settings) {
+  const bool isHeld = job.state == JobState::leased || job.state == JobState::started;
+  return isHeld && job.holder == holder && now + settings.maxClockSkew < job.leaseExpiresAt;
 }
 
-bool mayBegin(const Job &job, std::uint32_t member, std::uint64_t life, Nanoseconds now, const Terms &terms) {
-  const bool own = job.holder == member && job.life == life;
-  return own && (job.state == State::claimed || job.state == State::begun) && now + terms.drift < job.until;
+Job leased(Job job, const LeaseHolder &holder, Nanoseconds now, const LeaseSettings &settings) {
+  job.state = JobState::leased;
+  job.holder = holder;
+  return renewed(std::move(job), now, settings);
 }
 
-Job renewed(Job job, Nanoseconds now, const Terms &terms) {
-  job.until = now + terms.claimFor;
+Job renewed(Job job, Nanoseconds now, const LeaseSettings &settings) {
+  job.leaseExpiresAt = now + settings.leaseDuration;
   return job;
 }
 
-Job begun(Job job, Nanoseconds now) {
-  job.state = State::begun;
+Job started(Job job, Nanoseconds now) {
+  job.state = JobState::started;
   ++job.starts;
-  if (job.firstBegun == 0) job.firstBegun = now;
+  if (job.firstStartedAt == 0) job.firstStartedAt = now;
   return job;
 }
 
-Job ended(Job job, How how, const std::string &reason, Nanoseconds now, double chance, const Terms &terms) {
-  if (how ==
-      How::neverExecuted) { // as if it had not begun, but for the count of starts, which bounds the work
-    const bool first = job.starts <= 1;
-    if (first) job.firstBegun = 0;
-    if (job.starts >= terms.mostStarts) return job.state = State::failed, job.reason = reason, job;
-  } else if (how == How::done || !mayRepeat(job, now, terms)) {
-    job.state = how == How::done ? State::done : State::failed;
-    return job.reason = reason, job;
+Job executed(Job job, const ExecutionResult &result, Nanoseconds now, double jitter,
+             const LeaseSettings &settings) {
+  if (result.outcome == ExecutionOutcome::succeeded)
+    return finished(std::move(job), JobState::done, result.reason);
+  bool mayQueueAgain = mayRestart(job, now, settings);
+  if (result.outcome == ExecutionOutcome::neverExecuted) {
+    // As if it had not been started, except that the start counts: that bounds the work.
+    if (job.starts <= 1) job.firstStartedAt = 0;
+    mayQueueAgain = job.starts < settings.maxStarts;
   }
-  const Nanoseconds most = std::min(terms.pauseFirst << std::min(job.starts, 20), terms.pauseMost);
-  job.state = State::queued;
-  job.notBefore = now + static_cast<Nanoseconds>(chance * static_cast<double>(most)); // full jitter
-  return job.reason = reason, job;
+  if (!mayQueueAgain) return finished(std::move(job), JobState::failed, result.reason);
+  return queuedAgain(std::move(job), result.reason, now, jitter, settings);
 }
 
-Job givenUp(Job job, const std::string &reason) {
-  job.state = State::givenUp;
-  return job.reason = reason, job;
+Job abandoned(Job job, const std::string &reason) {
+  return finished(std::move(job), JobState::abandoned, reason);
 }
 
-} // namespace myrtlehead::custody
+} // namespace myrtlehead::job_lease
--- a/src/policy/job_lease.h
+++ b/src/policy/job_lease.h
@@ -1,11 +1,12 @@
-// Who may start a job now: plain rules over the job's record, which a register of the members holds. Times
-// are Unix time in nanoseconds, as different members read them; their clocks are apart by `drift` at most.
+// Who may start a job, and when: rules over the job's record, which a replicated register of the members
+// holds. Times are Unix time in nanoseconds as a member's own clock reads it; the clocks of two members
+// differ by `maxClockSkew` at most.
 //
-// A claim is taken before a job is started and says until when its holder may begin. What begins is written
-// down first (`begun`), so that a claim that ran out unused costs nothing, and one that was used tells the
-// taker that the job may have run. Where safety ends: endpoints know no claims, so a holder that is stopped
-// between its last look at the clock and its first byte may begin late by as long as it stood; the taker
-// waits `grace` for that.
+// A lease is acquired before a job is started and says until when its holder may start it. The start is
+// recorded first (JobState::started): a lease that expired unused costs nothing, and one that was used tells
+// the next holder that the job may have run. The limit of this safety: endpoints know nothing of leases, so a
+// holder that is suspended between its last check of the clock and its first byte may start late by as long
+// as it was suspended; the next holder waits `executionGrace` for that.
 #pragma once
 
 #include "policy/types.h"
@@ -13,62 +14,90 @@
 #include <cstdint>
 #include <string>
 
-namespace myrtlehead::custody {
+namespace myrtlehead::job_lease {
 
-// How members agree on time, and how often they try. From the installation's settings.
-struct Terms {
-  Nanoseconds claimFor = 5 * kSecond;     // a claim's length
-  Nanoseconds drift = 500 * kMillisecond; // most that two members' clocks are apart
-  Nanoseconds grace =
-      kSecond;        // most that an attempt that its endpoint holds goes on after its instance is gone
-  int mostStarts = 3; // of one job
-  Nanoseconds keepFor = 3600 * kSecond; // a record stays so long after the job's due time
-  Nanoseconds pauseFirst = 500 * kMillisecond,
-              pauseMost = 30 * kSecond; // before a job is started again, doubling
-  bool operator==(const Terms &) const = default;
+// How long leases last, how far clocks may differ, how often a job is tried. From the settings' [fleet].
+struct LeaseSettings {
+  Nanoseconds leaseDuration = 5 * kSecond;
+  Nanoseconds maxClockSkew = 500 * kMillisecond; // largest difference between two members' clocks
+  // How long an attempt in flight at its endpoint goes on at most after its instance has gone.
+  Nanoseconds executionGrace = kSecond;
+  int maxStarts = 3;                            // of one job
+  Nanoseconds retention = 3600 * kSecond;       // a record is kept so long after the job's due time
+  Nanoseconds baseBackoff = 500 * kMillisecond; // before a job is started again; doubles with each start
+  Nanoseconds maxBackoff = 30 * kSecond;
+  bool operator==(const LeaseSettings &) const = default;
 };
 
-enum class State { queued, claimed, begun, done, failed, givenUp };
-inline bool over(State s) { return s >= State::done; }
+// The order is that of the stored records.
+enum class JobState { queued, leased, started, done, failed, abandoned };
+// Whether the job's state is final.
+inline bool isFinished(JobState state) { return state >= JobState::done; }
+
+// One run of one member.
+struct LeaseHolder {
+  std::uint32_t member = 0;
+  std::uint64_t incarnation = 0;
+  bool operator==(const LeaseHolder &) const = default;
+};
 
 struct Job {
-  std::string id; // given by its mark, so that the same mark is the same job
-  Idempotency kind = Idempotency::notIdempotent;
-  int priorityWeight = 1;
-  Nanoseconds submitted = 0, due = 0; // it is given up then; each has one, so that no record stands for ever
-  Nanoseconds window = 0;             // deduped: from the first start on, for which endpoints know the mark
-  State state = State::queued;
-  std::uint32_t holder = 0; // of the claim, where there is one
-  std::uint64_t life = 0;   // the holder's
-  Nanoseconds until = 0;    // the claim's end
-  Nanoseconds firstBegun = 0;
-  Nanoseconds notBefore = 0; // queued again: the pause's end
+  std::string id; // derived from its idempotency key: the same key is the same job
+  Idempotency idempotency = Idempotency::notIdempotent;
+  int priority = 1; // 1 to 100, greater ones first
+  Nanoseconds submittedAt = 0;
+  Nanoseconds dueAt = 0; // abandoned then; every job has one, so that no record is kept for ever
+  // idempotentWithKey: for so long after the first start endpoints recognise the key.
+  Nanoseconds idempotencyWindow = 0;
+  JobState state = JobState::queued;
+  LeaseHolder holder; // meaningful in the states leased and started
+  Nanoseconds leaseExpiresAt = 0;
+  Nanoseconds firstStartedAt = 0; // 0: never
+  Nanoseconds notBefore = 0;      // queued again: the end of its backoff
   int starts = 0;
-  std::string reason; // of its end
+  std::string reason; // of its end, or of the last attempt's
   bool operator==(const Job &) const = default;
 };
 
-// What a member may do with a job, and otherwise when to look again.
-struct May {
-  enum What { claim, giveUp, wait, nothing } what = nothing;
-  Nanoseconds at = 0; // wait: no sooner
-  std::string reason; // giveUp
+enum class LeaseAction {
+  none,    // the job is finished, or its record may be erased
+  wait,    // until LeaseDecision::waitUntil
+  acquire, // the lease is free
+  abandon, // the job may not be started any more, for LeaseDecision::reason
+};
+
+struct LeaseDecision {
+  LeaseAction action = LeaseAction::none;
+  Nanoseconds waitUntil = 0;
+  std::string reason;
+};
+
+// What any member may do with the job now.
+LeaseDecision decideLease(const Job &job, Nanoseconds now, const LeaseSettings &settings);
+// How long a member waits before it acquires a free lease: the members have another order for each job, so
+// that they don't all propose in the same moment. 0 for the first.
+Nanoseconds claimDelay(const std::string &id, std::uint32_t member, std::uint32_t members);
+// Whether the record may be erased, whatever its state: decideLease() permits nothing on it any more.
+bool isRetentionOver(const Job &job, Nanoseconds now, const LeaseSettings &settings);
+// Whether the holder may start or renew: the lease is its own and lasts for longer than `maxClockSkew`.
+// The holder asks again right before its first byte.
+bool mayStart(const Job &job, const LeaseHolder &holder, Nanoseconds now, const LeaseSettings &settings);
+
+// How an execution of a job ended.
+enum class ExecutionOutcome { succeeded, failed, neverExecuted };
+struct ExecutionResult {
+  ExecutionOutcome outcome = ExecutionOutcome::neverExecuted; // proved: may be queued again whatever its kind
+  std::string reason;
 };
-May mayClaim(const Job &job, Nanoseconds now, const Terms &terms);
-// Members come in an order of the job's own, so that not all ask for it in the same moment: 0 is first.
-Nanoseconds turnOf(const std::string &id, std::uint32_t member, std::uint32_t members);
-// Whether its record may be forgotten, in whatever state this member has it: nobody acts on it any more.
-bool forgotten(const Job &job, Nanoseconds now, const Terms &terms);
 
-// The record with the step made; the caller has asked whether it may be, and writes it by compare and set.
-Job claimed(Job job, std::uint32_t member, std::uint64_t life, Nanoseconds now, const Terms &terms);
-// The holder's last look before the first byte. false: its time is up, or the claim is another's by now.
-bool mayBegin(const Job &job, std::uint32_t member, std::uint64_t life, Nanoseconds now, const Terms &terms);
-Job begun(Job job, Nanoseconds now);
-Job renewed(Job job, Nanoseconds now, const Terms &terms); // the holder goes on: its claim runs from now
-// an attempt is over. neverRan: proved not to have run, so it may be queued again whatever its kind.
-enum class How { done, failed, neverExecuted };
-Job ended(Job job, How how, const std::string &reason, Nanoseconds now, double chance, const Terms &terms);
-Job givenUp(Job job, const std::string &reason);
+// The job after one transition. The caller has checked that it is permitted, and writes the record by compare
+// and set.
+Job leased(Job job, const LeaseHolder &holder, Nanoseconds now, const LeaseSettings &settings);
+Job renewed(Job job, Nanoseconds now, const LeaseSettings &settings); // the lease runs anew from `now`
+Job started(Job job, Nanoseconds now);
+// Finished, or queued again with a backoff. `jitter`: drawn from [0, 1).
+Job executed(Job job, const ExecutionResult &result, Nanoseconds now, double jitter,
+             const LeaseSettings &settings);
+Job abandoned(Job job, const std::string &reason);
 
-} // namespace myrtlehead::custody
+} // namespace myrtlehead::job_lease
