--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -1,7 +1,5 @@
 #include "cluster/job_executor.h"
 
-#include "policy/log_text.h"
-
 #include <algorithm>
 
 namespace myrtlehead::cluster {
@@ -11,6 +9,13 @@
 
 namespace {
 
+// The words that a job's reason has always had for an outcome.
+const char *reasonFor(Outcome outcome) {
+  constexpr const char *kReasons[] = {"completed",   "errored", "turned away", "timed out",
+                                      "unreachable", "reset",   "cancelled",   "not sent"};
+  return kReasons[static_cast<int>(outcome)];
+}
+
 ExecutionResult resultOf(ExecutionOutcome outcome, std::string reason) {
   ExecutionResult result{outcome, std::move(reason)};
   return result;
@@ -54,7 +59,7 @@
   }
   if (cancellation.isCancelled()) router_.onClientDisconnected(request);
   if (mayHaveExecuted)
-    co_return resultOf(ExecutionOutcome::failed, std::string("its last try ") + word(lastOutcome));
+    co_return resultOf(ExecutionOutcome::failed, std::string("its last try ") + reasonFor(lastOutcome));
   const bool isShed = decision.action == AttemptDecision::shed;
   co_return resultOf(ExecutionOutcome::neverExecuted, isShed ? "shed" : "no node for it");
 }
--- a/src/policy/job_lease.h
+++ b/src/policy/job_lease.h
@@ -9,7 +9,7 @@
 // as it was suspended; the next holder waits `executionGrace` for that.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/deployment.h"
 
 #include <cstdint>
 #include <string>
