--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -134,7 +134,7 @@
   }
   log.info("asked to end: answers what it has taken");
   if (fleet != nullptr)
-    co_await fleet->shutDown(); // first: its jobs' attempts need what the door's end may take
+    co_await fleet->shutdown(); // first: its jobs' attempts need what the door's end may take
   co_await door.close();
   log.info("ended");
   sched.halt();
