--- a/bench/names_bench.cpp
+++ b/bench/names_bench.cpp
@@ -35,15 +35,15 @@
   using namespace endpoint_merge;
   const int n = static_cast<int>(state.range(0));
   EndpointMerge s({}, 3600 * kSecond, 0, subsetting::Subset(1, 0, 0));
-  s.follow("_pg._tcp.maps.example", 1, -1);
+  s.addSrvName("_pg._tcp.maps.example", 1, -1);
   std::vector<Target> targets;
   for (int i = 0; i < n; ++i) targets.push_back({"s-" + std::to_string(i) + ".maps.example", 6432, 0, 1});
-  s.named(0, Word::records, targets, 60 * kSecond, kSecond);
+  s.onSrvAnswer(0, DnsRecordsResult::records, targets, 60 * kSecond, kSecond);
   for (int i = 0; i < n; ++i)
-    s.resolved(targets[static_cast<std::size_t>(i)].host, Word::records,
-               {"10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250)});
+    s.onAddressAnswer(targets[static_cast<std::size_t>(i)].host, DnsRecordsResult::records,
+                      {"10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250)});
   for (auto _ : state) {
-    s.named(0, Word::records, targets, 60 * kSecond, kSecond);
+    s.onSrvAnswer(0, DnsRecordsResult::records, targets, 60 * kSecond, kSecond);
     benchmark::DoNotOptimize(s.merged(kSecond));
   }
 }
--- a/fuzz/sources.cpp
+++ b/fuzz/sources.cpp
@@ -30,11 +30,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
   Bytes in{data, data + std::min<std::size_t>(size, 2000)};
-  MergeSettings prudence;
-  prudence.departedFor = 365 * 86'400 * kSecond; // longer than any sequence: what drains is not forgotten
-  EndpointMerge s(prudence, 600 * kSecond, 0, subsetting::Subset(3, 1, in.next() % 4));
-  s.follow("a", 1, -1);
-  s.follow("b", -1, 0);
+  MergeSettings merge;
+  merge.departedMemoryTime = 365 * 86'400 * kSecond; // longer than any sequence: what drains is not forgotten
+  EndpointMerge s(merge, 600 * kSecond, 0, subsetting::Subset(3, 1, in.next() % 4));
+  s.addSrvName("a", 1, -1);
+  s.addSrvName("b", -1, 0);
   std::set<int> draining;
   Nanoseconds now = kSecond;
   while (!in.empty()) {
@@ -47,13 +47,13 @@
         const int t = in.next();
         targets.push_back({host(t), 1, t / 64, t % 7});
       }
-      const auto word = static_cast<Word>(what / 8 % 5);
-      s.named(static_cast<std::size_t>(what / 64 % 2), targets.empty() ? word : Word::records, targets,
-              now + 30 * kSecond, now);
+      const auto word = static_cast<DnsRecordsResult>(what / 8 % 5);
+      s.onSrvAnswer(static_cast<std::size_t>(what / 64 % 2),
+                    targets.empty() ? word : DnsRecordsResult::records, targets, now + 30 * kSecond, now);
     } else if (what % 8 < 5) {
-      s.resolved(host(who), static_cast<Word>(what / 8 % 5), {ip(in.next()), ip(who)});
+      s.onAddressAnswer(host(who), static_cast<DnsRecordsResult>(what / 8 % 5), {ip(in.next()), ip(who)});
     } else if (what % 8 == 5) {
-      s.told(host(who), in.next() % 4 - 1);
+      s.onReleaseAnswer(host(who), in.next() % 4 - 1);
     } else if (what % 8 == 6) {
       const auto mode = static_cast<EndpointState>(what / 8 % 3);
       s.listed({{"n" + std::to_string(who % 16), ip(who) + ":1", {.build = 1, .state = mode}}}, false, now);
@@ -63,10 +63,10 @@
         draining.insert(who % 16);
     } else {
       s.listFailed();
-      EndpointMerge next(prudence, 600 * kSecond, 0, subsetting::Subset(3, 1, 0));
-      next.follow("a", 1, -1);
-      next.follow("b", -1, 0);
-      next.restore(s.past(), now);
+      EndpointMerge next(merge, 600 * kSecond, 0, subsetting::Subset(3, 1, 0));
+      next.addSrvName("a", 1, -1);
+      next.addSrvName("b", -1, 0);
+      next.restore(s.snapshot(), now);
       s = next; // a new life
     }
     std::set<std::string> once;
@@ -77,7 +77,7 @@
       must(e.info.weight > 0 && e.info.weight <= 1 && e.info.priorityGroup >= 0, "weights are parts");
     }
     must(s.nextChange(now) > now, "time goes on");
-    s.hostsWanted();
+    s.hostsToResolve();
   }
   return 0;
 }
--- a/lab/starts.cpp
+++ b/lab/starts.cpp
@@ -35,7 +35,7 @@
       naming.resolution.refreshFrom = naming.resolution.refreshTo = 0.85;
     }
     for (int i = 0; i < kMarshals; ++i) {
-      sources.emplace_back(naming.prudence, naming.resolution.staleMost, 0, subsetting::Subset(1, 0, 0));
+      sources.emplace_back(naming.merge, naming.resolution.staleMost, 0, subsetting::Subset(1, 0, 0));
       names.emplace_back(sched, budget, sources.back(), naming, static_cast<std::uint64_t>(i), log, counters);
       sched.spawn(names.back().run(true));
     }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -80,7 +80,7 @@
   const auto within = settings::parseDuration(words.within);
   if (!within) throw CLI::ValidationError("--within", "'" + words.within + "' is no duration such as 5s");
   return app::resolve(words.names, servers, *within, words.output == "json",
-                          levelsOf(words.log.empty() ? "error" : words.log));
+                      levelsOf(words.log.empty() ? "error" : words.log));
 }
 
 } // namespace
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -38,14 +38,14 @@
 nlohmann::json serversOut(const dns_discovery::DnsDiscovery &names,
                           const endpoint_merge::EndpointMerge &sources, sched::Nanoseconds now) {
   nlohmann::json out = nlohmann::json::array();
-  const auto past = sources.past();
-  for (const auto &set : past.sets)
-    for (const auto &server : set.servers) {
-      const auto host = std::find_if(past.hosts.begin(), past.hosts.end(),
+  const auto snapshot = sources.snapshot();
+  for (const auto &set : snapshot.sets)
+    for (const auto &server : set.targets) {
+      const auto host = std::find_if(snapshot.hosts.begin(), snapshot.hosts.end(),
                                      [&](const auto &h) { return h.name == server.target.host; });
       const auto until = std::max(names.agenda().goodUntil({server.target.host, dns::Type::a}),
                                   names.agenda().goodUntil({server.target.host, dns::Type::aaaa}));
-      const auto addresses = host == past.hosts.end() ? std::vector<std::string>{} : host->addresses;
+      const auto addresses = host == snapshot.hosts.end() ? std::vector<std::string>{} : host->addresses;
       for (const auto &address : addresses)
         out.push_back({{"name", server.target.host},
                        {"address", address + ":" + std::to_string(server.target.port)},
@@ -89,7 +89,7 @@
   log::Logs logs(STDERR_FILENO, log::Form::text, std::move(levels));
   prometheus::Registry registry;
   dns_discovery::DnsMetrics counters(registry);
-  endpoint_merge::EndpointMerge sources(naming.prudence, naming.resolution.staleMost, 0,
+  endpoint_merge::EndpointMerge sources(naming.merge, naming.resolution.staleMost, 0,
                                         subsetting::Subset(1, 0, 0));
   std::random_device device;
   dns_discovery::DnsDiscovery names(sched, budget, sources, naming,
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -145,8 +145,7 @@
   NamesPart(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
             const bootstrap::BootstrapConfig &station, const settings::Settings &installation, log::Log log)
       : counters(registry),
-        sources(installation.naming.prudence, installation.naming.resolution.staleMost,
-                station.deployment.zone,
+        sources(installation.naming.merge, installation.naming.resolution.staleMost, station.deployment.zone,
                 subsetting::Subset(station.deployment.instanceCount, station.deployment.ownIndex,
                                    installation.naming.subset)),
         names(sched, budget, sources, installation.naming, station.seed + 2, std::move(log), counters) {
--- a/src/app/settings/settings.cpp
+++ b/src/app/settings/settings.cpp
@@ -107,8 +107,8 @@
   r.duration("least_lifetime", 100 * kMillisecond, kDay, naming.resolution.floor);
   r.duration("most_lifetime", kSecond, 7 * kDay, naming.resolution.ceiling);
   r.duration("stale_most", 0, 30 * kDay, naming.resolution.staleMost);
-  r.duration("loss_hold", 0, 3600 * kSecond, naming.prudence.lossHold);
-  r.duration("departed_for", kSecond, 7 * kDay, naming.prudence.departedFor);
+  r.duration("loss_hold", 0, 3600 * kSecond, naming.merge.lossRetention.retentionTime);
+  r.duration("departed_for", kSecond, 7 * kDay, naming.merge.departedMemoryTime);
   r.whole("subset", 0, 20'000, naming.subset);
   const int line = static_cast<int>(in.source().begin.line);
   if (naming.resolution.floor > naming.resolution.ceiling)
@@ -168,7 +168,7 @@
   differs(from.stateFolder != to.stateFolder, "state.folder");
   differs(from.naming.sets != to.naming.sets, "names.set");
   differs(from.naming.subset != to.naming.subset, "names.subset");
-  differs(!(from.naming.resolution == to.naming.resolution) || !(from.naming.prudence == to.naming.prudence),
+  differs(!(from.naming.resolution == to.naming.resolution) || !(from.naming.merge == to.naming.merge),
           "names' durations");
   differs(from.fleet != to.fleet, "fleet");
   return out;
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -8,7 +8,8 @@
 
 using dns_resolution::Answer;
 using dns_resolution::Said;
-using endpoint_merge::Word;
+using endpoint_merge::DnsRecordsResult;
+using endpoint_merge::NextLookup;
 
 namespace {
 
@@ -17,11 +18,11 @@
 constexpr Nanoseconds kGather = kSecond / 4;                            // addresses of the first servers
 constexpr Nanoseconds kLongestPause = 60 * kSecond;
 
-Word wordOf(Said said) {
-  return said == Said::records  ? Word::records
-         : said == Said::denied ? Word::denied
-         : said == Said::empty  ? Word::empty
-                                : Word::failed;
+DnsRecordsResult recordsResultOf(Said said) {
+  return said == Said::records  ? DnsRecordsResult::records
+         : said == Said::denied ? DnsRecordsResult::nxDomain
+         : said == Said::empty  ? DnsRecordsResult::noData
+                                : DnsRecordsResult::failed;
 }
 
 } // namespace
@@ -33,7 +34,7 @@
       counters_(counters), chance_(seed), agenda_(naming.resolution, seed + 1) {
   for (const auto &set : naming.sets) {
     const auto name = *dns::canonical(set.name);
-    sources_.follow(name, set.release, set.zone);
+    sources_.addSrvName(name, set.release, set.zone);
     sets_.push_back({name, dns::Type::srv});
   }
   lastFailure_.resize(sets_.size());
@@ -125,16 +126,17 @@
                       : answer.said == Said::failed ? answer.why
                       : answer.said == Said::denied ? "no such name"
                                                     : "the name has no SRV records";
-  auto word = wordOf(answer.said);
+  auto result = recordsResultOf(answer.said);
   std::vector<endpoint_merge::Target> targets;
   for (const auto &r : answer.records)
     if (!r.target.empty()) targets.push_back({r.target, r.port, r.priority, r.weight});
-  if (word == Word::records && targets.empty()) {
-    word = Word::notAvailable;
+  if (result == DnsRecordsResult::records && targets.empty()) {
+    result = DnsRecordsResult::notAvailable;
     lastFailure_[set] = "decidedly not available: the target is '.'";
   }
-  const bool again = sources_.named(set, word, targets, agenda_.goodUntil(question), sched_.now());
-  if (again) agenda_.hasten(question, naming_.prudence.askAgain, sched_.now());
+  const auto next = sources_.onSrvAnswer(set, result, targets, agenda_.goodUntil(question), sched_.now());
+  if (next == NextLookup::soon)
+    agenda_.hasten(question, naming_.merge.lossRetention.confirmationInterval, sched_.now());
   if (gatherUntil_ == 0) gatherUntil_ = sched_.now() + kGather;
   takeAdditional(answer);
   wantHosts();
@@ -150,12 +152,12 @@
     addresses.push_back(r.address);
     lifetime = std::min<Nanoseconds>(lifetime, r.ttl * kSecond);
   }
-  const auto wanted = byHost.empty() ? std::vector<endpoint_merge::EndpointMerge::Wanted>{}
-                                     : sources_.hostsWanted();
+  const auto wanted = byHost.empty() ? std::vector<endpoint_merge::EndpointMerge::HostLookup>{}
+                                     : sources_.hostsToResolve();
   for (const auto &w : wanted) {
     const auto it = byHost.find(w.host);
     if (it == byHost.end()) continue;
-    sources_.resolved(w.host, Word::records, it->second.first);
+    sources_.onAddressAnswer(w.host, DnsRecordsResult::records, it->second.first);
     agenda_.cameAlong({w.host, dns::Type::a}, it->second.second, sched_.now());
   }
 }
@@ -166,7 +168,7 @@
     if (answer.said == Said::failed) return;
     int release = -1;
     for (const auto &r : answer.records) release = std::max(release, endpoint_merge::releaseIn(r.text));
-    return sources_.told(host, release);
+    return sources_.onReleaseAnswer(host, release);
   }
   // IPv4 before IPv6: the latter is asked for only where there is none of the former.
   const dns::Question six{host, dns::Type::aaaa};
@@ -176,13 +178,14 @@
   std::vector<std::string> addresses;
   for (const auto &r : answer.records) addresses.push_back(r.address);
   if (isFour && answer.said == Said::records) agenda_.forget(six);
-  if (sources_.resolved(host, wordOf(answer.said), std::move(addresses)))
-    agenda_.hasten(question, naming_.prudence.askAgain, sched_.now());
+  const auto next = sources_.onAddressAnswer(host, recordsResultOf(answer.said), std::move(addresses));
+  if (next == NextLookup::soon)
+    agenda_.hasten(question, naming_.merge.lossRetention.confirmationInterval, sched_.now());
 }
 
 void DnsDiscovery::wantHosts() {
   std::map<std::string, bool> wanted;
-  for (const auto &w : sources_.hostsWanted()) wanted[w.host] = w.release;
+  for (const auto &w : sources_.hostsToResolve()) wanted[w.host] = w.needsRelease;
   for (const auto &[host, release] : hosts_)
     if (!wanted.contains(host))
       for (const auto type : {dns::Type::a, dns::Type::aaaa, dns::Type::txt}) agenda_.forget({host, type});
@@ -209,32 +212,33 @@
 }
 
 // One line where the condition of the set changes, with its figures.
-void DnsDiscovery::tellMode(const endpoint_merge::Figures &f) {
+void DnsDiscovery::tellMode(const endpoint_merge::MergeStatistics &f) {
   const auto &was = mode_;
   const auto same = [](auto a, auto b) { return (a > 0) == (b > 0); };
-  const bool kept = moded_ && same(was.servers, f.servers) && same(was.staleSets, f.staleSets) &&
-                    same(was.expiredSets, f.expiredSets) && same(was.deniedSets, f.deniedSets) &&
-                    same(was.held, f.held) && same(was.damped, f.damped) && was.lastResort == f.lastResort &&
-                    was.listDown == f.listDown && same(was.drainedButNamed, f.drainedButNamed);
+  const bool kept = moded_ && same(was.endpoints, f.endpoints) && same(was.staleSets, f.staleSets) &&
+                    same(was.expiredSets, f.expiredSets) && same(was.emptySets, f.emptySets) &&
+                    same(was.retainedTargets, f.retainedTargets) &&
+                    same(was.suppressedTargets, f.suppressedTargets) && was.isLastResort == f.isLastResort &&
+                    was.isListDown == f.isListDown && same(was.drainingButInDns, f.drainingButInDns);
   mode_ = f;
   if (kept) return;
   moded_ = true;
-  const char *mode = f.servers == 0      ? "no server is known"
-                     : f.lastResort      ? "names are believed as a last resort"
-                     : f.expiredSets > 0 ? "names have expired"
-                     : f.held > 0        ? "a sudden loss is held"
-                     : f.staleSets > 0   ? "names are stale"
-                     : f.deniedSets > 0  ? "names are denied"
-                                         : "names are followed";
-  log_.info(mode, {{"servers", f.servers},
+  const char *mode = f.endpoints == 0        ? "no server is known"
+                     : f.isLastResort        ? "names are believed as a last resort"
+                     : f.expiredSets > 0     ? "names have expired"
+                     : f.retainedTargets > 0 ? "a sudden loss is held"
+                     : f.staleSets > 0       ? "names are stale"
+                     : f.emptySets > 0       ? "names are denied"
+                                             : "names are followed";
+  log_.info(mode, {{"servers", f.endpoints},
                    {"listed", f.listed},
-                   {"named", f.named},
+                   {"named", f.inDns},
                    {"stale_sets", f.staleSets},
-                   {"held", f.held},
-                   {"damped", f.damped},
-                   {"drained_but_named", f.drainedButNamed},
-                   {"unknown_build", f.unknownBuild},
-                   {"list_down", f.listDown}});
+                   {"held", f.retainedTargets},
+                   {"damped", f.suppressedTargets},
+                   {"drained_but_named", f.drainingButInDns},
+                   {"unknown_build", f.unknownBuilds},
+                   {"list_down", f.isListDown}});
 }
 
 bool DnsDiscovery::settled() const {
@@ -243,7 +247,7 @@
 }
 
 std::string DnsDiscovery::sealed() const {
-  return storage::seal(kind_, writePast(sources_.past(), unixAtZero_, sched_.now()));
+  return storage::seal(kind_, encodeSnapshot(sources_.snapshot(), unixAtZero_, sched_.now()));
 }
 
 // As soon as no look-up is out, or after a while all the same.
@@ -256,7 +260,7 @@
   // Guards a next life against half a state: what has no address yet, or no server at all, does not take the
   // place of what served.
   const bool whole = agenda_.open() == 0;
-  if (!unkept_ || sources_.figures().servers == 0 || sched_.now() < keepAt(whole)) return;
+  if (!unkept_ || sources_.figures().endpoints == 0 || sched_.now() < keepAt(whole)) return;
   unkept_ = false;
   keptAt_ = sched_.now();
   writer_->put(sealed());
@@ -265,7 +269,7 @@
 void DnsDiscovery::saveNow() {
   if (writer_ == nullptr) return;
   writer_ = nullptr; // what was handed over is saved first
-  if (sources_.figures().servers == 0) return;
+  if (sources_.figures().endpoints == 0) return;
   const auto fault = storage::save(path_, sealed());
   if (!fault.empty()) log_.warning("the state of names is not kept", {{"why", fault}});
 }
@@ -277,10 +281,11 @@
   unixAtZero_ = unixAtZero;
   const auto opened = storage::load(path, kind_);
   Nanoseconds savedAt = 0;
-  auto past = opened.refusal == storage::Opened::none ? readPast(opened.payload, unixAtZero, savedAt)
-                                                      : std::nullopt;
+  auto snapshot = opened.refusal == storage::Opened::none
+                      ? decodeSnapshot(opened.payload, unixAtZero, savedAt)
+                      : std::nullopt;
   writer_ = std::make_unique<storage::Writer>(path);
-  if (!past) {
+  if (!snapshot) {
     if (opened.refusal != storage::Opened::missing)
       log_.warning("the kept state of names is refused",
                    {{"file", path},
@@ -288,14 +293,14 @@
     return false;
   }
   gathered_ = true;
-  sources_.restore(*past, sched_.now());
-  for (const auto &set : past->sets) {
+  sources_.restore(*snapshot, sched_.now());
+  for (const auto &set : snapshot->sets) {
     const dns::Question question{set.name, dns::Type::srv};
     agenda_.want(question, naming_.startSpread, sched_.now());
     agenda_.restore(question, set.goodAt, set.goodUntil);
   }
   log_.info("the kept state of names is served until names answer",
-            {{"file", path}, {"age_s", (sched_.now() - savedAt) / kSecond}, {"sets", past->sets.size()}});
+            {{"file", path}, {"age_s", (sched_.now() - savedAt) / kSecond}, {"sets", snapshot->sets.size()}});
   changed_ = true;
   return true;
 }
--- a/src/control/dns/dns_discovery.h
+++ b/src/control/dns/dns_discovery.h
@@ -50,7 +50,7 @@
   void takeAdditional(const dns_resolution::Answer &answer);
   bool gathering();
   void publish();
-  void tellMode(const endpoint_merge::Figures &now);
+  void tellMode(const endpoint_merge::MergeStatistics &now);
   void keep();
   sched::Nanoseconds keepAt(bool whole) const;
   std::string sealed() const;
@@ -73,7 +73,7 @@
   bool changed_ = false, gathered_ = false;
   sched::Nanoseconds gatherUntil_ = 0; // of the first answer; 0: none yet
   sched::Nanoseconds publishedAt_ = 0;
-  endpoint_merge::Figures mode_;
+  endpoint_merge::MergeStatistics mode_;
   bool moded_ = false;
 
   std::unique_ptr<storage::Writer> writer_;
--- a/src/control/dns/metrics.cpp
+++ b/src/control/dns/metrics.cpp
@@ -56,26 +56,26 @@
 
 void DnsMetrics::staleness(double seconds) { f_->staleness.Set(seconds); }
 
-void DnsMetrics::set(const endpoint_merge::Figures &f) {
+void DnsMetrics::set(const endpoint_merge::MergeStatistics &f) {
   const auto put = [](auto &family, const char *label, const char *value, auto figure) {
     family.Add({{label, value}}).Set(static_cast<double>(figure));
   };
-  put(f_->servers, "by", "set", f.servers);
+  put(f_->servers, "by", "set", f.endpoints);
   put(f_->servers, "by", "list", f.listed);
-  put(f_->servers, "by", "names", f.named);
-  put(f_->servers, "by", "unresolved", f.unresolved);
-  put(f_->servers, "by", "unknown_build", f.unknownBuild);
-  put(f_->disagreements, "kind", "drained_but_named", f.drainedButNamed);
-  put(f_->disagreements, "kind", "listed_not_named", f.listedNotNamed);
-  put(f_->disagreements, "kind", "two_names", f.twoNames);
-  put(f_->disagreements, "kind", "builds_differ", f.buildsDiffer);
-  put(f_->conditions, "kind", "damped", f.damped);
-  put(f_->conditions, "kind", "held", f.held);
+  put(f_->servers, "by", "names", f.inDns);
+  put(f_->servers, "by", "unresolved", f.unresolvedTargets);
+  put(f_->servers, "by", "unknown_build", f.unknownBuilds);
+  put(f_->disagreements, "kind", "drained_but_named", f.drainingButInDns);
+  put(f_->disagreements, "kind", "listed_not_named", f.listedNotInDns);
+  put(f_->disagreements, "kind", "two_names", f.addressesWithTwoNames);
+  put(f_->disagreements, "kind", "builds_differ", f.buildMismatches);
+  put(f_->conditions, "kind", "damped", f.suppressedTargets);
+  put(f_->conditions, "kind", "held", f.retainedTargets);
   put(f_->conditions, "kind", "stale_sets", f.staleSets);
   put(f_->conditions, "kind", "expired_sets", f.expiredSets);
-  put(f_->conditions, "kind", "denied_sets", f.deniedSets);
-  put(f_->conditions, "kind", "last_resort", f.lastResort);
-  put(f_->conditions, "kind", "list_down", f.listDown);
+  put(f_->conditions, "kind", "denied_sets", f.emptySets);
+  put(f_->conditions, "kind", "last_resort", f.isLastResort);
+  put(f_->conditions, "kind", "list_down", f.isListDown);
 }
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/metrics.h
+++ b/src/control/dns/metrics.h
@@ -20,7 +20,7 @@
   void query(bool tcp);
   void mishap(dns_resolution::Mishap what);
   void lookup(dns_resolution::Said said);
-  void set(const endpoint_merge::Figures &figures);
+  void set(const endpoint_merge::MergeStatistics &figures);
   void staleness(double seconds); // of the oldest answer served past its lifetime; 0: none is
 
 private:
--- a/src/control/dns/settings.h
+++ b/src/control/dns/settings.h
@@ -22,7 +22,7 @@
   std::vector<net::Address> servers; // of names; empty: no look-ups
   std::vector<NamedSet> sets;
   dns_resolution::ResolutionSettings resolution;
-  endpoint_merge::MergeSettings prudence;
+  endpoint_merge::MergeSettings merge;
   sched::Nanoseconds startSpread =
       2'000'000'000; // ns; the first look-ups of a life fall within, if there is something to serve from
   int subset = 0;    // servers held by an instance, about; 0: all
--- a/src/control/dns/snapshot.cpp
+++ b/src/control/dns/snapshot.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using endpoint_merge::Past;
+using endpoint_merge::Snapshot;
 using nlohmann::json;
 
 constexpr Nanoseconds kLongest = 36'600 * (86'400 * kSecond);
@@ -45,9 +45,9 @@
   return e;
 }
 
-json setOut(const Past::Set &set, const Clock &clock) {
+json setOut(const Snapshot::RecordSet &set, const Clock &clock) {
   json servers = json::array();
-  for (const auto &s : set.servers)
+  for (const auto &s : set.targets)
     servers.push_back(
         {s.target.host, s.target.port, s.target.priority, s.target.weight, clock.out(s.goneAt)});
   return {{"name", set.name},
@@ -56,10 +56,10 @@
           {"servers", std::move(servers)}};
 }
 
-Past::Set setIn(const json &v, const Clock &clock) {
-  Past::Set set{v.at("name"), clock.in(v.at("good_at")), clock.in(v.at("good_until")), {}};
+Snapshot::RecordSet setIn(const json &v, const Clock &clock) {
+  Snapshot::RecordSet set{v.at("name"), clock.in(v.at("good_at")), clock.in(v.at("good_until")), {}};
   for (const auto &s : v.at("servers"))
-    set.servers.push_back({{s.at(0), s.at(1), s.at(2), s.at(3)}, clock.in(s.at(4))});
+    set.targets.push_back({{s.at(0), s.at(1), s.at(2), s.at(3)}, clock.in(s.at(4))});
   return set;
 }
 
@@ -69,37 +69,38 @@
   return out;
 }
 
-bool bounded(const Past &past) {
+bool bounded(const Snapshot &snapshot) {
   std::size_t servers = 0;
-  for (const auto &set : past.sets) servers += set.servers.size();
-  return servers <= 2 * endpoint_merge::kMostServers &&
-         past.hosts.size() <= 2 * endpoint_merge::kMostServers &&
-         past.departed.size() <= endpoint_merge::kMostServers &&
-         past.starts.size() <= endpoint_merge::kMostServers;
+  for (const auto &set : snapshot.sets) servers += set.targets.size();
+  return servers <= 2 * endpoint_merge::kMaxEndpoints &&
+         snapshot.hosts.size() <= 2 * endpoint_merge::kMaxEndpoints &&
+         snapshot.departed.size() <= endpoint_merge::kMaxEndpoints &&
+         snapshot.starts.size() <= endpoint_merge::kMaxEndpoints;
 }
 
 } // namespace
 
-std::string writePast(const Past &past, Nanoseconds unixAtZero, Nanoseconds now) {
+std::string encodeSnapshot(const Snapshot &snapshot, Nanoseconds unixAtZero, Nanoseconds now) {
   const Clock clock{unixAtZero};
   json sets = json::array(), hosts = json::array(), listed = json::array();
-  for (const auto &set : past.sets) sets.push_back(setOut(set, clock));
-  for (const auto &h : past.hosts) hosts.push_back({h.name, h.addresses, h.release});
-  for (const auto &e : past.listed) listed.push_back(entryOut(e, clock));
+  for (const auto &set : snapshot.sets) sets.push_back(setOut(set, clock));
+  for (const auto &h : snapshot.hosts) hosts.push_back({h.name, h.addresses, h.release});
+  for (const auto &e : snapshot.listed) listed.push_back(entryOut(e, clock));
   return json{{"saved", clock.out(now)},
               {"sets", std::move(sets)},
               {"hosts", std::move(hosts)},
               {"listed", std::move(listed)},
-              {"departed", timesOut(past.departed, clock)},
-              {"starts", timesOut(past.starts, clock)}}
+              {"departed", timesOut(snapshot.departed, clock)},
+              {"starts", timesOut(snapshot.starts, clock)}}
       .dump();
 }
 
-std::optional<Past> readPast(const std::string &text, Nanoseconds unixAtZero, Nanoseconds &savedAt) {
+std::optional<Snapshot> decodeSnapshot(const std::string &text, Nanoseconds unixAtZero,
+                                       Nanoseconds &savedAt) {
   const Clock clock{unixAtZero};
   try {
     const auto in = json::parse(text);
-    Past out;
+    Snapshot out;
     savedAt = clock.in(in.at("saved"));
     for (const auto &set : in.at("sets")) out.sets.push_back(setIn(set, clock));
     for (const auto &h : in.at("hosts"))
--- a/src/policy/endpoint_merge.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -1,466 +1,296 @@
 #include "policy/endpoint_merge.h"
 
 #include <algorithm>
-#include <charconv>
-#include <cmath>
+#include <utility>
 
 namespace myrtlehead::endpoint_merge {
 
 namespace {
 
-constexpr std::size_t kSuddenFrom = 4; // servers; of fewer a loss of half is an ordinary day
-constexpr int kNotAvailableAgreeing = 2;
-constexpr double kLeastWeight = 0.01; // weight 0 has "a very small chance", RFC 2782
+// Of the largest weight in a group: weight 0 has "a very small chance" (RFC 2782).
+constexpr double kMinWeight = 0.01;
 
-std::string at(const std::string &host, std::uint16_t port) { return host + ":" + std::to_string(port); }
-
-// Guards the memory of departures against addresses that are ever new: the longest unmentioned go.
-template <class Map, class Time> void keepLatest(Map &map, std::size_t most, Time time) {
-  if (map.size() <= most) return;
-  std::vector<Nanoseconds> times;
-  for (const auto &[key, value] : map) times.push_back(time(value));
-  std::nth_element(times.begin(), times.end() - static_cast<std::ptrdiff_t>(most), times.end());
-  const Nanoseconds least = times[times.size() - most];
-  std::erase_if(map, [&](const auto &item) { return time(item.second) < least; });
+std::string hostAndPort(const std::string &host, std::uint16_t port) {
+  return host + ":" + std::to_string(port);
 }
 
-} // namespace
+bool isReady(const Entry &entry) { return entry.info.state == EndpointState::ready; }
 
-int releaseIn(std::string_view text) {
-  constexpr std::string_view kKey = "release=";
-  while (!text.empty()) {
-    const auto end = std::min(text.find(' '), text.size());
-    const auto word = text.substr(0, end);
-    text.remove_prefix(std::min(end + 1, text.size()));
-    int release = -1;
-    if (!word.starts_with(kKey)) continue;
-    const auto r = std::from_chars(word.data() + kKey.size(), word.data() + word.size(), release);
-    if (r.ec == std::errc{} && r.ptr == word.data() + word.size() && release >= 0 && release < kUnknownBuild)
-      return release;
-  }
-  return -1;
-}
+} // namespace
 
-std::size_t EndpointMerge::follow(std::string name, int release, int zone) {
-  Set set;
-  set.name = std::move(name);
-  set.release = release;
-  set.zone = zone;
-  sets_.push_back(std::move(set));
+std::size_t EndpointMerge::addSrvName(std::string name, int release, int zone) {
+  sets_.emplace_back(std::move(name), release, zone);
   return sets_.size() - 1;
 }
 
-double EndpointMerge::penalty(const Known &known, Nanoseconds now) const {
-  return known.penalty *
-         std::exp2(-static_cast<double>(now - known.penaltyAt) / static_cast<double>(prudence_.flapHalfLife));
-}
-
-bool EndpointMerge::damped(Known &known, Nanoseconds now) const {
-  if (known.dampedSince == 0) return false;
-  if (penalty(known, now) < prudence_.flapLeast || now - known.dampedSince >= prudence_.flapLongest) {
-    known.dampedSince = 0;
-    known.penalty = 0;
-  }
-  return known.dampedSince != 0;
-}
-
-void EndpointMerge::present(Set &set, const Target &target, bool first, Nanoseconds now) {
-  hosts_.try_emplace(target.host);
-  const auto [at, isNew] = set.targets.try_emplace({target.host, target.port});
-  auto &known = at->second;
-  known.priority = target.priority;
-  known.weight = target.weight;
-  known.missing = false;
-  if (known.named) return;
-  known.named = true;
-  known.atFirst = first;
-  known.goneAt = 0;
-  if (isNew) return;
-  known.penalty = penalty(known, now) + 1; // it was here, went and is back
-  known.penaltyAt = now;
-  if (known.penalty > prudence_.flapMost && known.dampedSince == 0) known.dampedSince = now;
-}
-
-void EndpointMerge::depart(Set &set, Nanoseconds now) {
-  for (auto &[key, known] : set.targets) {
-    if (!known.missing) continue;
-    known.missing = known.named = false;
-    known.goneAt = now;
-  }
-  set.lossSince = 0;
-  set.lossHeard = 0;
-  selected_ = false;
-}
-
-void EndpointMerge::believeLoss(Set &set, Word word, Nanoseconds now) {
-  const bool all = std::all_of(set.targets.begin(), set.targets.end(),
-                               [](const auto &t) { return t.second.missing || !t.second.named; });
-  set.denied = all;
-  set.lastResortUntil = all && word != Word::notAvailable ? now + staleMost_ : 0;
-  depart(set, now);
-}
-
-bool EndpointMerge::named(std::size_t number, Word word, const std::vector<Target> &targets,
-                          Nanoseconds goodUntil, Nanoseconds now) {
-  auto &set = sets_[number];
-  if (word == Word::failed) return false;
-  const bool first = set.goodAt == 0;
-  set.goodAt = now;
-  set.goodUntil = goodUntil;
-  std::size_t were = 0, missing = 0;
-  for (auto &[key, known] : set.targets) were += known.named, known.missing = known.named;
-  if (word == Word::records)
-    for (const auto &t : targets)
-      if (set.targets.size() < kMostServers || set.targets.contains({t.host, t.port}))
-        present(set, t, first, now);
-  for (const auto &[key, known] : set.targets) missing += known.missing;
-  selected_ = false;
-  if (word == Word::records) set.denied = false;
-  if (missing == 0) {
-    set.lossSince = 0;
-    set.lossHeard = 0;
-    return false;
-  }
-  const bool sudden = word != Word::records || (were >= kSuddenFrom && 2 * missing > were);
-  if (!sudden) {
-    depart(set, now);
-    return false;
-  }
-  if (set.lossSince == 0) set.lossSince = now;
-  ++set.lossHeard;
-  const int needed = word == Word::notAvailable ? kNotAvailableAgreeing : prudence_.agreeing;
-  if (set.lossHeard < needed && now - set.lossSince < prudence_.lossHold) return true;
-  believeLoss(set, word, now);
-  return false;
-}
-
-bool EndpointMerge::resolved(const std::string &name, Word word, std::vector<std::string> addresses) {
-  const auto it = hosts_.find(name);
-  if (it == hosts_.end() || word == Word::failed) return false;
-  auto &host = it->second;
-  if (word != Word::records) {
-    // Guards against one wrong denial: the same care as with a sudden loss.
-    if (++host.denials >= prudence_.agreeing) host.addresses.clear();
-    return !host.addresses.empty();
-  }
-  host.denials = 0;
-  std::sort(addresses.begin(), addresses.end());
-  addresses.erase(std::unique(addresses.begin(), addresses.end()), addresses.end());
-  if (addresses.size() > kMostAddresses) addresses.resize(kMostAddresses);
-  std::vector<std::pair<std::string, bool>> now;
-  for (auto &address : addresses) {
-    const auto was = std::find_if(host.addresses.begin(), host.addresses.end(),
-                                  [&](const auto &a) { return a.first == address; });
-    const bool later = was != host.addresses.end() ? was->second : !host.addresses.empty();
-    now.emplace_back(std::move(address), later);
-  }
-  host.addresses.swap(now);
-  return false;
+NextLookup EndpointMerge::onSrvAnswer(std::size_t set, DnsRecordsResult result,
+                                      const std::vector<Target> &targets, Nanoseconds goodUntil,
+                                      Nanoseconds now) {
+  if (result == DnsRecordsResult::failed) return NextLookup::onSchedule;
+  const auto next = sets_[set].onAnswer(result, targets, goodUntil, now, settings_.lossRetention,
+                                        settings_.flapDamping, staleTime_);
+  if (result == DnsRecordsResult::records)
+    for (const auto &target : targets)
+      if (sets_[set].targets().contains({target.host, target.port})) hosts_.add(target.host);
+  isSubsetCurrent_ = false;
+  return next;
 }
 
-void EndpointMerge::told(const std::string &name, int release) {
-  const auto it = hosts_.find(name);
-  if (it != hosts_.end()) it->second.release = release;
+NextLookup EndpointMerge::onAddressAnswer(const std::string &host, DnsRecordsResult result,
+                                          std::vector<std::string> addresses) {
+  return hosts_.onAnswer(host, result, std::move(addresses), settings_.lossRetention.confirmations);
 }
 
 void EndpointMerge::listed(const std::vector<Entry> &entries, bool whole, Nanoseconds now) {
-  listDown_ = false;
-  std::set<std::string> said;
-  for (const auto &e : entries) {
-    said.insert(e.name);
-    const auto was = listed_.find(e.name);
-    const auto address = e.address.empty() && was != listed_.end() ? was->second.address : e.address;
-    if (was != listed_.end() && was->second.address != address) departed_[was->second.address] = now;
-    if (e.info.state == EndpointState::gone)
-      listed_.erase(e.name);
-    else
-      listed_[e.name] = {e.name, address, e.info};
-    if (e.info.state == EndpointState::ready)
-      departed_.erase(address);
-    else if (!address.empty())
-      departed_[address] = now;
-  }
-  if (whole)
-    std::erase_if(listed_, [&](const auto &item) {
-      const bool gone = !said.contains(item.first);
-      if (gone) departed_[item.second.address] = now;
-      return gone;
-    });
-  // An address that another name serves at has not departed.
-  for (const auto &[name, entry] : listed_)
-    if (entry.info.state == EndpointState::ready) departed_.erase(entry.address);
-  keepLatest(departed_, kMostServers, [](Nanoseconds t) { return t; });
+  list_.onUpdate(entries, whole ? ListUpdate::complete : ListUpdate::partial, now);
 }
 
-void EndpointMerge::expireHolds(Nanoseconds now) {
+void EndpointMerge::expireRetention(Nanoseconds now) {
   for (auto &set : sets_)
-    if (set.lossSince != 0 && now - set.lossSince >= prudence_.lossHold) believeLoss(set, Word::empty, now);
+    if (set.expireRetention(now, settings_.lossRetention, staleTime_)) isSubsetCurrent_ = false;
 }
 
-// What names go on naming stays out on, be their answer as old as it may.
+// A departed address stays out for as long as DNS records have it, however old their answer is.
 void EndpointMerge::mentionDeparted(Nanoseconds now) {
-  if (departed_.empty()) return;
+  if (list_.departed().empty()) return;
   for (const auto &set : sets_)
-    for (const auto &[key, known] : set.targets) {
-      const auto host = known.named ? hosts_.find(key.first) : hosts_.end();
-      if (host == hosts_.end()) continue;
-      for (const auto &[address, later] : host->second.addresses) {
-        const auto gone = departed_.find(at(address, key.second));
-        if (gone != departed_.end()) gone->second = now;
-      }
+    for (const auto &[key, target] : set.targets()) {
+      const auto *host = target.isPresent ? hosts_.find(key.first) : nullptr;
+      if (host == nullptr) continue;
+      for (const auto &resolved : host->addresses)
+        list_.departed().onMention(hostAndPort(resolved.address, key.second), now);
     }
 }
 
-void EndpointMerge::prune(Nanoseconds now) {
-  const Nanoseconds kept = std::max(prudence_.flapLongest, 2 * prudence_.flapHalfLife);
-  for (auto &set : sets_) {
-    const bool resort = set.denied && now < set.lastResortUntil;
-    std::erase_if(set.targets,
-                  [&](const auto &t) { return !t.second.named && !resort && now - t.second.goneAt > kept; });
-  }
-  for (auto &[name, host] : hosts_) host.wanted = false;
+void EndpointMerge::forgetGone(Nanoseconds now) {
+  const auto &damping = settings_.flapDamping;
+  const Nanoseconds targetMemoryTime = std::max(damping.maxSuppressTime, 2 * damping.halfLife);
+  for (auto &set : sets_) set.forgetGone(now, targetMemoryTime);
+  hosts_.unmarkAll();
   for (const auto &set : sets_)
-    for (const auto &[key, known] : set.targets) hosts_[key.first].wanted = true;
-  std::erase_if(hosts_, [](const auto &h) { return !h.second.wanted; });
+    for (const auto &[key, target] : set.targets()) hosts_.mark(key.first);
+  hosts_.removeUnmarked();
   mentionDeparted(now);
-  std::erase_if(departed_, [&](const auto &d) { return now - d.second > prudence_.departedFor; });
-  std::erase_if(seen_, [&](const auto &s) { return now - s.second.second > prudence_.departedFor; });
-  keepLatest(seen_, kMostServers, [](const auto &s) { return s.second; });
+  list_.departed().forgetOlderThan(settings_.departedMemoryTime, now);
+  firstSightings_.forgetOlderThan(settings_.departedMemoryTime, now);
 }
 
-void EndpointMerge::selectTargets() {
-  if (selected_) return;
-  selected_ = true;
+void EndpointMerge::selectSubset() {
+  if (isSubsetCurrent_) return;
+  isSubsetCurrent_ = true;
   std::vector<std::string> names;
-  std::vector<const Key *> keys;
-  std::set<Key> all;
-  for (const auto &set : sets_)
-    for (const auto &[key, known] : set.targets)
-      if (known.named && all.insert(key).second)
-        keys.push_back(&key), names.push_back(at(key.first, key.second));
-  const auto held = subset_.held(names);
-  heldTargets_.clear();
-  allHeld_ = std::find(held.begin(), held.end(), false) == held.end();
-  if (allHeld_) return;
+  std::vector<const TargetKey *> keys;
+  std::set<TargetKey> distinct;
+  for (const auto &set : std::as_const(sets_))
+    for (const auto &[key, target] : set.targets()) {
+      if (!target.isPresent || !distinct.insert(key).second) continue;
+      keys.push_back(&key);
+      names.push_back(hostAndPort(key.first, key.second));
+    }
+  const auto inSubset = targetSubset_.held(names);
+  subsetTargets_.clear();
+  usesAllTargets_ = std::find(inSubset.begin(), inSubset.end(), false) == inSubset.end();
+  if (usesAllTargets_) return;
   for (std::size_t i = 0; i < keys.size(); ++i)
-    if (held[i]) heldTargets_.insert(*keys[i]);
+    if (inSubset[i]) subsetTargets_.insert(*keys[i]);
 }
 
-std::vector<EndpointMerge::Wanted> EndpointMerge::hostsWanted() {
-  selectTargets();
-  std::map<std::string, bool> wanted;
-  for (const auto &set : sets_)
-    for (const auto &[key, known] : set.targets)
-      if (known.named && (allHeld_ || heldTargets_.contains(key))) wanted[key.first] |= set.release < 0;
-  std::vector<Wanted> out;
-  for (const auto &[host, release] : wanted) out.push_back({host, release});
+std::vector<EndpointMerge::HostLookup> EndpointMerge::hostsToResolve() {
+  selectSubset();
+  std::map<std::string, bool> needsRelease;
+  for (const auto &set : std::as_const(sets_))
+    for (const auto &[key, target] : set.targets())
+      if (target.isPresent && isInSubset(key)) needsRelease[key.first] |= set.release() < 0;
+  std::vector<HostLookup> out;
+  for (const auto &[host, release] : needsRelease) out.push_back({host, release});
   return out;
 }
 
-void EndpointMerge::offer(const Set &set, const Key &key, const Known &known, Offers &out) {
-  const auto &host = hosts_[key.first];
-  figures_.unresolved += host.addresses.empty();
-  for (const auto &[address, later] : host.addresses) {
-    const auto name = host.addresses.size() == 1 ? at(key.first, key.second)
-                                                 : at(key.first + "[" + address + "]", key.second);
-    const int release = host.release >= 0 ? host.release : set.release;
-    const auto [place, isNew] = out.try_emplace(at(address, key.second),
-                                                Offer{&set, &known, name, release, later});
+void EndpointMerge::addAddressesOf(const SrvRecordSet &set, const TargetKey &key, const TargetState &target,
+                                   DnsEndpoints &out) {
+  const auto &host = *hosts_.find(key.first); // forgetGone() has marked, and so added, each target's host
+  statistics_.unresolvedTargets += host.addresses.empty();
+  for (const auto &[address, isLater] : host.addresses) {
+    const auto name = host.addresses.size() == 1 ? hostAndPort(key.first, key.second)
+                                                 : hostAndPort(key.first + "[" + address + "]", key.second);
+    const int release = host.release >= 0 ? host.release : set.release();
+    const DnsEndpoint endpoint{&set, &target, name, release, isLater};
+    const auto [place, isNew] = out.try_emplace(hostAndPort(address, key.second), endpoint);
     if (isNew) continue;
-    ++figures_.twoNames;
-    if (known.priority < place->second.known->priority) place->second = {&set, &known, name, release, later};
+    ++statistics_.addressesWithTwoNames;
+    if (target.priority < place->second.target->priority) place->second = endpoint;
   }
 }
 
-// Usually what is named and neither damped nor expired; as a last resort what has expired or was denied.
-EndpointMerge::Offers EndpointMerge::offers(bool lastResort, Nanoseconds now) {
-  Offers out;
+EndpointMerge::DnsEndpoints EndpointMerge::eligibleDnsEndpoints(Eligibility eligibility, Nanoseconds now) {
+  const bool isLastResort = eligibility == Eligibility::lastResort;
+  DnsEndpoints out;
   for (auto &set : sets_) {
-    const bool expired = set.goodUntil != 0 && now - set.goodUntil > staleMost_;
-    for (auto &[key, known] : set.targets) {
-      const bool denied = set.denied && !known.named && now < set.lastResortUntil;
-      const bool resort = denied || (known.named && expired);
-      if (lastResort ? !resort && !known.named : resort || !known.named) continue;
-      const bool flaps = damped(known, now);
-      if (!lastResort) figures_.damped += flaps, figures_.held += known.missing;
-      if (flaps && !lastResort) continue;
-      if (known.named && !allHeld_ && !heldTargets_.contains(key)) continue;
-      offer(set, key, known, out);
+    const bool isExpired = set.isExpired(now, staleTime_);
+    for (auto &[key, target] : set.targets()) {
+      const bool isGoneButServes = !target.isPresent && set.mayServeGone(now);
+      const bool needsLastResort = isGoneButServes || (target.isPresent && isExpired);
+      const bool isEligible = isLastResort ? needsLastResort || target.isPresent
+                                           : !needsLastResort && target.isPresent;
+      if (!isEligible) continue;
+      const bool isSuppressed = target.flaps.updateSuppression(settings_.flapDamping, now);
+      if (!isLastResort) {
+        statistics_.suppressedTargets += isSuppressed;
+        statistics_.retainedTargets += target.isMissing;
+        if (isSuppressed) continue;
+      }
+      if (target.isPresent && !isInSubset(key)) continue;
+      addAddressesOf(set, key, target, out);
     }
   }
   return out;
 }
 
-EndpointInfo EndpointMerge::listingOf(const std::string &address, const Offer &offer, Nanoseconds now) {
-  const bool later = !offer.known->atFirst || offer.later;
-  const auto [seen, first] = seen_.try_emplace(address, later ? now : 0, now);
-  seen->second.second = now;
+EndpointInfo EndpointMerge::infoFor(const std::string &address, const DnsEndpoint &endpoint,
+                                    Nanoseconds now) {
   EndpointInfo out;
-  out.build = offer.release >= 0 ? offer.release : kUnknownBuild;
-  out.zone = offer.set->zone >= 0 ? offer.set->zone : homeZone_;
-  out.startedAt = seen->second.first;
+  out.build = endpoint.release >= 0 ? endpoint.release : kUnknownBuild;
+  out.zone = endpoint.set->zone() >= 0 ? endpoint.set->zone() : homeZone_;
+  out.startedAt = firstSightings_.onSight(address, !endpoint.target->wasInitial || endpoint.isLater, now);
   return out;
 }
 
-void EndpointMerge::addListed(const Offers &offers, std::vector<Entry> &out) {
-  const bool told = std::any_of(sets_.begin(), sets_.end(), [](const Set &s) { return s.goodAt != 0; });
-  std::vector<std::string> alone;
-  std::vector<const Entry *> entries;
-  for (const auto &[name, entry] : listed_) {
-    const bool ready = entry.info.state == EndpointState::ready;
-    const auto named = offers.find(entry.address);
-    figures_.listed += ready;
-    if (named != offers.end()) {
-      figures_.twoNames += named->second.name != name;
-      figures_.buildsDiffer += named->second.release >= 0 && named->second.release != entry.info.build;
-      figures_.drainedButNamed += !ready;
+void EndpointMerge::addListed(const DnsEndpoints &inDns, std::vector<Entry> &out) {
+  const bool hasDnsAnswer = std::any_of(sets_.begin(), sets_.end(),
+                                        [](const SrvRecordSet &set) { return set.goodAt() != 0; });
+  std::vector<std::string> listOnlyAddresses;
+  std::vector<const Entry *> listOnly;
+  for (const auto &[name, entry] : list_.entries()) {
+    const bool ready = isReady(entry);
+    const auto dns = inDns.find(entry.address);
+    statistics_.listed += ready;
+    if (dns != inDns.end()) {
+      const auto &endpoint = dns->second;
+      statistics_.addressesWithTwoNames += endpoint.name != name;
+      statistics_.buildMismatches += endpoint.release >= 0 && endpoint.release != entry.info.build;
+      statistics_.drainingButInDns += !ready;
       out.push_back(entry);
     } else {
-      figures_.listedNotNamed += ready && told && allHeld_;
-      entries.push_back(&entry);
-      alone.push_back(entry.address);
+      statistics_.listedNotInDns += ready && hasDnsAnswer && usesAllTargets_;
+      listOnly.push_back(&entry);
+      listOnlyAddresses.push_back(entry.address);
     }
   }
-  const auto held = listSubset_.held(alone);
-  for (std::size_t i = 0; i < alone.size(); ++i)
-    if (held[i]) out.push_back(*entries[i]);
+  const auto inSubset = listSubset_.held(listOnlyAddresses);
+  for (std::size_t i = 0; i < listOnly.size(); ++i)
+    if (inSubset[i]) out.push_back(*listOnly[i]);
 }
 
-void EndpointMerge::addNamed(const Offers &offers, std::vector<Entry> &out, Nanoseconds now) {
-  std::set<std::string> byList;
-  for (const auto &[name, entry] : listed_) byList.insert(entry.address);
-  for (const auto &[address, offer] : offers) {
-    if (byList.contains(address)) continue;
-    const auto gone = departed_.find(address);
-    if (gone != departed_.end()) {
-      ++figures_.drainedButNamed;
+void EndpointMerge::addDnsOnly(const DnsEndpoints &inDns, std::vector<Entry> &out, Nanoseconds now) {
+  std::set<std::string> listedAddresses;
+  for (const auto &[name, entry] : list_.entries()) listedAddresses.insert(entry.address);
+  for (const auto &[address, endpoint] : inDns) {
+    if (listedAddresses.contains(address)) continue;
+    if (list_.departed().contains(address)) {
+      ++statistics_.drainingButInDns;
       continue;
     }
-    out.push_back({offer.name, address, listingOf(address, offer, now)});
-    figures_.unknownBuild += offer.release < 0;
+    out.push_back({endpoint.name, address, infoFor(address, endpoint, now)});
+    statistics_.unknownBuilds += endpoint.release < 0;
   }
 }
 
-// The order of priorities, and weights as parts of the largest in a group.
-void EndpointMerge::groups(std::vector<Entry> &out, const Offers &offers) const {
-  std::map<int, double> most; // by priority
-  for (const auto &e : out)
-    if (const auto o = offers.find(e.address); o != offers.end()) {
-      auto &m = most[o->second.known->priority];
-      m = std::max<double>(m, o->second.known->weight);
+// Numbers the SRV priorities in ascending order, and gives weights as fractions of the largest in a group.
+void EndpointMerge::assignPriorityGroups(std::vector<Entry> &out, const DnsEndpoints &inDns) const {
+  std::map<int, double> maxWeights; // by priority
+  for (const auto &entry : out)
+    if (const auto dns = inDns.find(entry.address); dns != inDns.end()) {
+      auto &maxWeight = maxWeights[dns->second.target->priority];
+      maxWeight = std::max<double>(maxWeight, dns->second.target->weight);
     }
-  for (auto &e : out) {
-    const auto o = offers.find(e.address);
-    if (o == offers.end()) continue;
-    const auto &known = *o->second.known;
-    const auto group = most.find(known.priority);
-    e.info.priorityGroup = static_cast<int>(std::distance(most.begin(), group));
-    e.info.weight = group->second > 0 ? std::max(known.weight / group->second, kLeastWeight) : 1;
+  for (auto &entry : out) {
+    const auto dns = inDns.find(entry.address);
+    if (dns == inDns.end()) continue;
+    const auto &target = *dns->second.target;
+    const auto group = maxWeights.find(target.priority);
+    entry.info.priorityGroup = static_cast<int>(std::distance(maxWeights.begin(), group));
+    entry.info.weight = group->second > 0 ? std::max(target.weight / group->second, kMinWeight) : 1;
   }
 }
 
-bool EndpointMerge::serves(const std::vector<Entry> &entries) const {
-  return std::any_of(entries.begin(), entries.end(),
-                     [](const Entry &e) { return e.info.state == EndpointState::ready; });
+void EndpointMerge::summarize(const std::vector<Entry> &out, const DnsEndpoints &inDns, Nanoseconds now) {
+  std::set<int> groups;
+  for (const auto &entry : out) {
+    groups.insert(entry.info.priorityGroup);
+    statistics_.endpoints += isReady(entry);
+  }
+  statistics_.isLastResort = statistics_.isLastResort && statistics_.endpoints > 0;
+  statistics_.priorityGroups = groups.size();
+  statistics_.inDns = inDns.size();
+  statistics_.isListDown = list_.isDown();
+  for (const auto &set : sets_) {
+    statistics_.staleSets += set.isStale(now);
+    statistics_.expiredSets += set.isExpired(now, staleTime_);
+    statistics_.emptySets += set.isConfirmedEmpty();
+  }
 }
 
 std::vector<Entry> EndpointMerge::merged(Nanoseconds now) {
-  expireHolds(now);
-  prune(now);
-  selectTargets();
+  expireRetention(now);
+  forgetGone(now);
+  selectSubset();
   std::vector<Entry> out;
-  Offers offered;
-  for (const bool lastResort : {false, true}) {
-    figures_ = {};
-    figures_.lastResort = lastResort;
+  DnsEndpoints inDns;
+  for (const auto eligibility : {Eligibility::usual, Eligibility::lastResort}) {
+    statistics_ = {};
+    statistics_.isLastResort = eligibility == Eligibility::lastResort;
     out.clear();
-    offered = offers(lastResort, now);
-    addListed(offered, out);
-    addNamed(offered, out, now);
-    if (serves(out)) break;
-  }
-  groups(out, offered);
-  std::set<int> tiers;
-  for (const auto &e : out)
-    tiers.insert(e.info.priorityGroup), figures_.servers += e.info.state == EndpointState::ready;
-  figures_.lastResort = figures_.lastResort && figures_.servers > 0;
-  figures_.groups = tiers.size();
-  figures_.named = offered.size();
-  figures_.listDown = listDown_;
-  for (const auto &set : sets_) {
-    figures_.staleSets += set.goodUntil != 0 && now > set.goodUntil;
-    figures_.expiredSets += set.goodUntil != 0 && now - set.goodUntil > staleMost_;
-    figures_.deniedSets += set.denied;
+    inDns = eligibleDnsEndpoints(eligibility, now);
+    addListed(inDns, out);
+    addDnsOnly(inDns, out, now);
+    if (std::any_of(out.begin(), out.end(), isReady)) break;
   }
+  assignPriorityGroups(out, inDns);
+  summarize(out, inDns, now);
   return out;
 }
 
 Nanoseconds EndpointMerge::nextChange(Nanoseconds now) const {
-  Nanoseconds next = INT64_MAX;
-  const auto by = [&](Nanoseconds t) {
-    if (t > now) next = std::min(next, t);
-  };
-  for (const auto &set : sets_) {
-    if (set.lossSince != 0) by(set.lossSince + prudence_.lossHold);
-    if (set.goodUntil != 0) by(set.goodUntil + 1), by(set.goodUntil + staleMost_ + 1);
-    if (set.denied) by(set.lastResortUntil);
-    for (const auto &[key, known] : set.targets) {
-      if (known.dampedSince == 0) continue;
-      const double left = std::log2(std::max(penalty(known, now) / prudence_.flapLeast, 1.0));
-      by(now + kMillisecond + static_cast<Nanoseconds>(left * static_cast<double>(prudence_.flapHalfLife)));
-      by(known.dampedSince + prudence_.flapLongest);
-    }
-  }
-  return next;
+  EarliestAfter next(now);
+  for (const auto &set : sets_)
+    set.addNextChange(now, settings_.lossRetention, settings_.flapDamping, staleTime_, next);
+  return next.value();
 }
 
-Past EndpointMerge::past() const {
-  Past out;
+Snapshot EndpointMerge::snapshot() const {
+  Snapshot out;
   for (const auto &set : sets_) {
-    Past::Set s{set.name, set.goodAt, set.goodUntil, {}};
-    for (const auto &[key, known] : set.targets)
-      s.servers.push_back(
-          {{key.first, key.second, known.priority, known.weight}, known.named ? 0 : known.goneAt});
-    out.sets.push_back(std::move(s));
+    Snapshot::RecordSet saved{set.name(), set.goodAt(), set.goodUntil(), {}};
+    for (const auto &[key, target] : set.targets())
+      saved.targets.push_back(
+          {{key.first, key.second, target.priority, target.weight}, target.isPresent ? 0 : target.goneAt});
+    out.sets.push_back(std::move(saved));
   }
-  for (const auto &[name, host] : hosts_) {
-    Past::Host h{name, {}, host.release};
-    for (const auto &[address, later] : host.addresses) h.addresses.push_back(address);
-    out.hosts.push_back(std::move(h));
+  for (const auto &[name, host] : hosts_.all()) {
+    Snapshot::Host saved{name, {}, host.release};
+    for (const auto &resolved : host.addresses) saved.addresses.push_back(resolved.address);
+    out.hosts.push_back(std::move(saved));
   }
-  for (const auto &[name, entry] : listed_) out.listed.push_back(entry);
-  out.departed.assign(departed_.begin(), departed_.end());
-  for (const auto &[address, seen] : seen_) out.starts.emplace_back(address, seen.first);
+  for (const auto &[name, entry] : list_.entries()) out.listed.push_back(entry);
+  const auto &departed = list_.departed().all();
+  out.departed.assign(departed.begin(), departed.end());
+  for (const auto &[address, sighting] : firstSightings_.all())
+    out.starts.emplace_back(address, sighting.startedAt);
   return out;
 }
 
-// Only for names that are still followed; the list's entries hold until a list is heard.
-void EndpointMerge::restore(const Past &past, Nanoseconds now) {
-  for (const auto &was : past.sets) {
+void EndpointMerge::restore(const Snapshot &snapshot, Nanoseconds now) {
+  for (const auto &saved : snapshot.sets) {
     const auto set = std::find_if(sets_.begin(), sets_.end(),
-                                  [&](const Set &s) { return s.name == was.name; });
+                                  [&](const SrvRecordSet &known) { return known.name() == saved.name; });
     if (set == sets_.end()) continue;
-    set->goodAt = was.goodAt;
-    set->goodUntil = was.goodUntil;
-    for (const auto &server : was.servers) {
-      auto &known = set->targets[{server.target.host, server.target.port}];
-      known.priority = server.target.priority;
-      known.weight = server.target.weight;
-      known.named = server.goneAt == 0;
-      known.goneAt = server.goneAt;
-      known.atFirst = true;
-    }
-  }
-  for (const auto &h : past.hosts) {
-    auto &host = hosts_[h.name];
-    host.release = h.release;
-    for (const auto &address : h.addresses) host.addresses.emplace_back(address, false);
+    set->restoreAge(saved.goodAt, saved.goodUntil);
+    for (const auto &target : saved.targets) set->restoreTarget(target.target, target.goneAt);
   }
-  for (const auto &entry : past.listed) listed_.try_emplace(entry.name, entry);
-  for (const auto &[address, at] : past.departed) departed_[address] = at;
-  for (const auto &[address, start] : past.starts) seen_[address] = {start, now};
-  listDown_ = true;
-  selected_ = false;
+  for (const auto &host : snapshot.hosts) hosts_.restore(host.name, host.addresses, host.release);
+  list_.restore(snapshot.listed, snapshot.departed);
+  for (const auto &[address, startedAt] : snapshot.starts) firstSightings_.restore(address, startedAt, now);
+  isSubsetCurrent_ = false;
 }
 
 } // namespace myrtlehead::endpoint_merge
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -1,194 +1,130 @@
-// Which servers there are: discovery's list and name records merged into one set by the rule that
-// docs/dns-srv.md tabulates. Holds sudden losses, damps what flaps, remembers what the list has let go. No
-// I/O, no clock of its own: times are the instance's, whole nanoseconds.
+// Merges the endpoint list of discovery and DNS records into one set of endpoints, by the rule that
+// docs/dns-srv.md tabulates. The parts: endpoint_list (the list and what it removed), srv_record_set with
+// loss_retention and flap_damping (targets of SRV names), host_addresses (their addresses), address_memory.
+// No I/O, no clock of its own: times are the instance's, in nanoseconds.
 #pragma once
 
+#include "policy/endpoint_list.h"
+#include "policy/endpoint_merge_snapshot.h"
+#include "policy/host_addresses.h"
+#include "policy/srv_record_set.h"
 #include "policy/subsetting.h"
-#include "policy/types.h"
 
 #include <map>
 #include <set>
 #include <string>
-#include <string_view>
 #include <vector>
 
 namespace myrtlehead::endpoint_merge {
 
-constexpr std::size_t kMostServers = 20'000; // that names may give, and departures that are remembered
-constexpr std::size_t kMostAddresses = 4;    // of one host that are used
-
-// How carefully what names say is believed.
 struct MergeSettings {
-  Nanoseconds lossHold = 30 * kSecond; // a sudden loss is held so long at most
-  Nanoseconds askAgain = 2 * kSecond;  // meanwhile
-  int agreeing = 3;                    // answers in a row that make it believed
-  Nanoseconds departedFor = 3600 *
-                            kSecond; // what the list has let go stays out so long after names last had it
-  Nanoseconds flapHalfLife = 60 * kSecond; // of a penalty
-  double flapMost = 3, flapLeast = 1;      // out above, in again below
-  Nanoseconds flapLongest = 300 * kSecond;
+  LossRetentionSettings lossRetention;
+  FlapDampingSettings flapDamping;
+  // For how long an address that the list has removed stays out after DNS records last had it.
+  Nanoseconds departedMemoryTime = 3600 * kSecond;
   bool operator==(const MergeSettings &) const = default;
 };
 
-// A line of the endpoint list.
-struct Entry {
-  std::string name, address;
-  EndpointInfo info;
-};
-
-// One SRV record's target.
-struct Target {
-  std::string host;
-  std::uint16_t port = 0;
-  int priority = 0, weight = 0;
-};
-
-enum class Word {
-  records,
-  denied,       // NXDOMAIN
-  empty,        // NODATA
-  notAvailable, // the target "."
-  failed,       // no answer: says nothing about the servers
-};
-
-// What list and names disagree on, and in which condition the set is.
-struct Figures {
-  std::size_t servers = 0, listed = 0, named = 0;   // in the set; in service by the list; by names
-  std::size_t drainedButNamed = 0;                  // leaving or gone by the list, named all the same
-  std::size_t listedNotNamed = 0;                   // in service by the list, left out by names
-  std::size_t twoNames = 0, buildsDiffer = 0;       // one address with two names; two builds told
-  std::size_t unresolved = 0, damped = 0, held = 0; // targets without an address; that flap; of a sudden loss
-  std::size_t unknownBuild = 0, groups = 0;
-  int staleSets = 0, expiredSets = 0, deniedSets = 0;
-  bool lastResort = false, listDown = false;
-};
-
-// What a life leaves to the next one; times are the instance's.
-struct Past {
-  struct Server {
-    Target target;
-    Nanoseconds goneAt = 0; // 0: named
-  };
-  struct Set {
-    std::string name;
-    Nanoseconds goodAt = 0, goodUntil = 0;
-    std::vector<Server> servers;
-  };
-  struct Host {
-    std::string name;
-    std::vector<std::string> addresses;
-    int release = -1;
-  };
-  std::vector<Set> sets;
-  std::vector<Host> hosts;
-  std::vector<Entry> listed;
-  std::vector<std::pair<std::string, Nanoseconds>> departed,
-      starts; // addresses, with the last mention and the first sight
+// Counts of the latest merge: its size, on what list and DNS records disagree, its condition.
+struct MergeStatistics {
+  std::size_t endpoints = 0;        // in service
+  std::size_t listed = 0;           // in service by the list
+  std::size_t inDns = 0;            // addresses by DNS records
+  std::size_t drainingButInDns = 0; // draining or removed by the list, still in DNS records
+  std::size_t listedNotInDns = 0;   // in service by the list, missing from DNS records
+  std::size_t addressesWithTwoNames = 0;
+  std::size_t buildMismatches = 0;   // list and DNS records give different builds
+  std::size_t unresolvedTargets = 0; // targets without an address
+  std::size_t suppressedTargets = 0; // by flap damping
+  std::size_t retainedTargets = 0;   // of a sudden loss that is not confirmed
+  std::size_t unknownBuilds = 0;
+  std::size_t priorityGroups = 0;
+  int staleSets = 0;         // SRV record sets past their TTL
+  int expiredSets = 0;       // past their TTL and the stale time
+  int emptySets = 0;         // confirmed to be empty
+  bool isLastResort = false; // endpoints are served from expired or empty sets
+  bool isListDown = false;
 };
 
-// "release=7" among the words of a TXT record; -1: it tells none.
-int releaseIn(std::string_view text);
-
 class EndpointMerge {
 public:
-  // `staleMost`: how long past its lifetime an answer serves. `subset`: which targets this instance holds.
-  EndpointMerge(MergeSettings prudence, Nanoseconds staleMost, int homeZone, subsetting::Subset subset)
-      : prudence_(prudence), staleMost_(staleMost), homeZone_(homeZone), subset_(subset),
+  // `staleTime`: how long past its TTL an answer serves. `homeZone`: of endpoints without a known zone.
+  // `subset`: which targets this instance uses.
+  EndpointMerge(MergeSettings settings, Nanoseconds staleTime, int homeZone, subsetting::Subset subset)
+      : settings_(settings), staleTime_(staleTime), homeZone_(homeZone), targetSubset_(subset),
         listSubset_(std::move(subset)) {}
 
-  // An SRV name to follow; returns its number. `release`, `zone`: of servers that tell none; -1: not told.
-  std::size_t follow(std::string name, int release, int zone);
+  // Adds an SRV name and returns its index. `release`, `zone`: of endpoints that have none of their own; -1:
+  // unknown.
+  std::size_t addSrvName(std::string name, int release, int zone);
 
-  // What an SRV look-up came to, good until `goodUntil`. True: to be asked again soon, to confirm a loss.
-  bool named(std::size_t set, Word word, const std::vector<Target> &targets, Nanoseconds goodUntil,
-             Nanoseconds now);
-  // The addresses of a target: IPv4 before IPv6. `release`: by its TXT record; -1: not told.
-  // True: to be asked again soon, to confirm a denial.
-  bool resolved(const std::string &host, Word word, std::vector<std::string> addresses);
-  void told(const std::string &host, int release);
+  // The result of a look-up of an SRV name, valid until `goodUntil`.
+  NextLookup onSrvAnswer(std::size_t set, DnsRecordsResult result, const std::vector<Target> &targets,
+                         Nanoseconds goodUntil, Nanoseconds now);
+  // The result of a look-up of a target's addresses.
+  NextLookup onAddressAnswer(const std::string &host, DnsRecordsResult result,
+                             std::vector<std::string> addresses);
+  // The release that a host's TXT record gives; -1: none.
+  void onReleaseAnswer(const std::string &host, int release) { hosts_.setRelease(host, release); }
 
   void listed(const std::vector<Entry> &entries, bool whole, Nanoseconds now);
-  void listFailed() { listDown_ = true; }
+  void listFailed() { list_.onFailed(); }
 
-  // The one set: what may be sent to (ready) and what drains, each address once, in the order of names.
+  // The merged set: endpoints in service and draining ones, each address once, ordered by name.
   std::vector<Entry> merged(Nanoseconds now);
-  Nanoseconds nextChange(Nanoseconds now) const; // when merged() changes by itself; at least
-  struct Wanted {
+  // When merged() changes without a new answer or update, at the earliest; always after `now`.
+  Nanoseconds nextChange(Nanoseconds now) const;
+  struct HostLookup {
     std::string host;
-    bool release = false; // its TXT record too
+    bool needsRelease = false; // its TXT record is wanted too
   };
-  std::vector<Wanted> hostsWanted();                  // whose addresses are to be looked up, in order
-  const Figures &figures() const { return figures_; } // of the last merged()
+  std::vector<HostLookup> hostsToResolve();                      // ordered by host
+  const MergeStatistics &figures() const { return statistics_; } // of the latest merged()
 
-  Past past() const;
-  void restore(const Past &past, Nanoseconds now);
+  Snapshot snapshot() const;
+  // Only sets whose names were added are restored; the list counts as down until its first update.
+  void restore(const Snapshot &snapshot, Nanoseconds now);
 
 private:
-  struct Known { // a target that a set has, or lately had
-    int priority = 0, weight = 0;
-    bool named = false;   // counts as there
-    bool missing = false; // but the latest answer leaves it out
-    bool atFirst = false; // there before we first looked
-    Nanoseconds goneAt = 0;
-    double penalty = 0;
-    Nanoseconds penaltyAt = 0, dampedSince = 0; // 0: not damped
-  };
-  using Key = std::pair<std::string, std::uint16_t>; // host, port
-  struct Set {
+  struct DnsEndpoint { // one address by DNS records
+    const SrvRecordSet *set;
+    const TargetState *target;
     std::string name;
-    int release = -1, zone = -1;
-    std::map<Key, Known> targets;
-    Nanoseconds goodAt = 0, goodUntil = 0;
-    Nanoseconds lossSince = 0; // 0: none is held
-    int lossHeard = 0;
-    bool denied = false;             // believed to have no servers
-    Nanoseconds lastResortUntil = 0; // then
-  };
-  struct Host {
-    std::vector<std::pair<std::string, bool>> addresses; // and whether it came after the first ones
-    int release = -1;
-    int denials = 0; // in a row
-    bool wanted = false;
+    int release; // -1: unknown
+    bool isLater;
   };
-  struct Offer { // one address as names have it
-    const Set *set;
-    const Known *known;
-    std::string name;
-    int release;
-    bool later;
-  };
-  using Offers = std::map<std::string, Offer>; // by address and port
+  using DnsEndpoints = std::map<std::string, DnsEndpoint>; // by "address:port"
+  // Which targets are served: those that are present; or, where nothing else serves, also those of expired
+  // and empty sets.
+  enum class Eligibility { usual, lastResort };
 
-  void present(Set &set, const Target &target, bool first, Nanoseconds now);
-  void depart(Set &set, Nanoseconds now);
-  void believeLoss(Set &set, Word word, Nanoseconds now);
-  bool damped(Known &known, Nanoseconds now) const;
-  double penalty(const Known &known, Nanoseconds now) const;
-  void expireHolds(Nanoseconds now);
+  void expireRetention(Nanoseconds now);
   void mentionDeparted(Nanoseconds now);
-  void prune(Nanoseconds now);
-  void selectTargets();
-  void offer(const Set &set, const Key &key, const Known &known, Offers &out);
-  Offers offers(bool lastResort, Nanoseconds now);
-  EndpointInfo listingOf(const std::string &address, const Offer &offer, Nanoseconds now);
-  void addListed(const Offers &offers, std::vector<Entry> &out);
-  void addNamed(const Offers &offers, std::vector<Entry> &out, Nanoseconds now);
-  void groups(std::vector<Entry> &out, const Offers &offers) const;
-  bool serves(const std::vector<Entry> &entries) const;
-
-  MergeSettings prudence_;
-  Nanoseconds staleMost_;
+  void forgetGone(Nanoseconds now);
+  void selectSubset();
+  bool isInSubset(const TargetKey &key) const { return usesAllTargets_ || subsetTargets_.contains(key); }
+  void addAddressesOf(const SrvRecordSet &set, const TargetKey &key, const TargetState &target,
+                      DnsEndpoints &out);
+  DnsEndpoints eligibleDnsEndpoints(Eligibility eligibility, Nanoseconds now);
+  EndpointInfo infoFor(const std::string &address, const DnsEndpoint &endpoint, Nanoseconds now);
+  void addListed(const DnsEndpoints &inDns, std::vector<Entry> &out);
+  void addDnsOnly(const DnsEndpoints &inDns, std::vector<Entry> &out, Nanoseconds now);
+  void assignPriorityGroups(std::vector<Entry> &out, const DnsEndpoints &inDns) const;
+  void summarize(const std::vector<Entry> &out, const DnsEndpoints &inDns, Nanoseconds now);
+
+  MergeSettings settings_;
+  Nanoseconds staleTime_;
   int homeZone_;
-  subsetting::Subset subset_, listSubset_; // of targets, and of what the list alone has
-  std::vector<Set> sets_;
-  std::map<std::string, Host> hosts_;
-  std::map<std::string, Entry> listed_;         // by name: in service or leaving
-  std::map<std::string, Nanoseconds> departed_; // by address: when list or names last had it
-  std::map<std::string, std::pair<Nanoseconds, Nanoseconds>>
-      seen_;                  // by address: its start as we tell it, when it was last named
-  std::set<Key> heldTargets_; // of the subset
-  bool selected_ = false, allHeld_ = true, listDown_ = false;
-  Figures figures_;
+  subsetting::Subset targetSubset_; // of SRV targets
+  subsetting::Subset listSubset_;   // of entries that only the list has
+  std::vector<SrvRecordSet> sets_;
+  HostAddresses hosts_;
+  EndpointList list_;
+  FirstSightings firstSightings_;
+  std::set<TargetKey> subsetTargets_; // where not all targets are used
+  bool isSubsetCurrent_ = false;
+  bool usesAllTargets_ = true;
+  MergeStatistics statistics_;
 };
 
 } // namespace myrtlehead::endpoint_merge
--- /dev/null
+++ b/src/policy/loss_retention.cpp
@@ -0,0 +1,41 @@
+#include "policy/loss_retention.h"
+
+namespace myrtlehead::endpoint_merge {
+
+namespace {
+
+// Targets. In a smaller record set the loss of half of them is an ordinary change.
+constexpr std::size_t kMinTargetsForSuddenLoss = 4;
+
+// A zone says "not available" deliberately: fewer answers confirm it.
+constexpr int kNotAvailableConfirmations = 2;
+
+} // namespace
+
+bool LossRetention::isSudden(DnsRecordsResult result, std::size_t previous, std::size_t missing) {
+  if (result != DnsRecordsResult::records) return true;
+  return previous >= kMinTargetsForSuddenLoss && 2 * missing > previous;
+}
+
+bool LossRetention::confirm(const LossRetentionSettings &settings, DnsRecordsResult result, Nanoseconds now) {
+  if (since_ == 0) since_ = now;
+  ++answers_;
+  const int needed = result == DnsRecordsResult::notAvailable ? kNotAvailableConfirmations
+                                                              : settings.confirmations;
+  return answers_ >= needed || isExpired(settings, now);
+}
+
+bool LossRetention::isExpired(const LossRetentionSettings &settings, Nanoseconds now) const {
+  return since_ != 0 && now - since_ >= settings.retentionTime;
+}
+
+void LossRetention::reset() {
+  since_ = 0;
+  answers_ = 0;
+}
+
+void LossRetention::addNextChange(const LossRetentionSettings &settings, EarliestAfter &next) const {
+  if (since_ != 0) next.add(since_ + settings.retentionTime);
+}
+
+} // namespace myrtlehead::endpoint_merge
--- /dev/null
+++ b/src/policy/srv_record_set.cpp
@@ -0,0 +1,119 @@
+#include "policy/srv_record_set.h"
+
+#include <algorithm>
+
+namespace myrtlehead::endpoint_merge {
+
+// Returns how many targets were present.
+std::size_t SrvRecordSet::markPresentAsMissing() {
+  std::size_t present = 0;
+  for (auto &[key, target] : targets_) {
+    present += target.isPresent;
+    target.isMissing = target.isPresent;
+  }
+  return present;
+}
+
+void SrvRecordSet::add(const Target &target, bool isFirstAnswer, Nanoseconds now,
+                       const FlapDampingSettings &damping) {
+  const auto [at, isNew] = targets_.try_emplace({target.host, target.port});
+  auto &state = at->second;
+  state.priority = target.priority;
+  state.weight = target.weight;
+  state.isMissing = false;
+  if (state.isPresent) return;
+  state.isPresent = true;
+  state.wasInitial = isFirstAnswer;
+  state.goneAt = 0;
+  if (!isNew) state.flaps.onReturn(damping, now);
+}
+
+void SrvRecordSet::removeMissing(Nanoseconds now) {
+  for (auto &[key, target] : targets_) {
+    if (!target.isMissing) continue;
+    target.isMissing = false;
+    target.isPresent = false;
+    target.goneAt = now;
+  }
+  retention_.reset();
+}
+
+void SrvRecordSet::acceptLoss(DnsRecordsResult result, Nanoseconds now, Nanoseconds staleTime) {
+  isConfirmedEmpty_ = std::all_of(targets_.begin(), targets_.end(), [](const auto &target) {
+    return target.second.isMissing || !target.second.isPresent;
+  });
+  const bool mayServe = isConfirmedEmpty_ && result != DnsRecordsResult::notAvailable;
+  lastResortUntil_ = mayServe ? now + staleTime : 0;
+  removeMissing(now);
+}
+
+NextLookup SrvRecordSet::onAnswer(DnsRecordsResult result, const std::vector<Target> &targets,
+                                  Nanoseconds goodUntil, Nanoseconds now,
+                                  const LossRetentionSettings &retention, const FlapDampingSettings &damping,
+                                  Nanoseconds staleTime) {
+  const bool isFirstAnswer = goodAt_ == 0;
+  goodAt_ = now;
+  goodUntil_ = goodUntil;
+  const auto previous = markPresentAsMissing();
+  if (result == DnsRecordsResult::records) {
+    for (const auto &target : targets)
+      if (targets_.size() < kMaxEndpoints || targets_.contains({target.host, target.port}))
+        add(target, isFirstAnswer, now, damping);
+    isConfirmedEmpty_ = false;
+  }
+  const auto missing = static_cast<std::size_t>(std::count_if(
+      targets_.begin(), targets_.end(), [](const auto &target) { return target.second.isMissing; }));
+  if (missing == 0) {
+    retention_.reset();
+    return NextLookup::onSchedule;
+  }
+  if (!LossRetention::isSudden(result, previous, missing)) {
+    removeMissing(now);
+    return NextLookup::onSchedule;
+  }
+  if (!retention_.confirm(retention, result, now)) return NextLookup::soon;
+  acceptLoss(result, now, staleTime);
+  return NextLookup::onSchedule;
+}
+
+bool SrvRecordSet::expireRetention(Nanoseconds now, const LossRetentionSettings &retention,
+                                   Nanoseconds staleTime) {
+  if (!retention_.isExpired(retention, now)) return false;
+  acceptLoss(DnsRecordsResult::noData, now, staleTime);
+  return true;
+}
+
+void SrvRecordSet::forgetGone(Nanoseconds now, Nanoseconds memoryTime) {
+  if (mayServeGone(now)) return;
+  std::erase_if(targets_, [&](const auto &target) {
+    return !target.second.isPresent && now - target.second.goneAt > memoryTime;
+  });
+}
+
+void SrvRecordSet::restoreTarget(const Target &target, Nanoseconds goneAt) {
+  auto &state = targets_[{target.host, target.port}];
+  state.priority = target.priority;
+  state.weight = target.weight;
+  state.isPresent = goneAt == 0;
+  state.goneAt = goneAt;
+  state.wasInitial = true;
+}
+
+void SrvRecordSet::restoreAge(Nanoseconds goodAt, Nanoseconds goodUntil) {
+  goodAt_ = goodAt;
+  goodUntil_ = goodUntil;
+}
+
+void SrvRecordSet::addNextChange(Nanoseconds now, const LossRetentionSettings &retention,
+                                 const FlapDampingSettings &damping, Nanoseconds staleTime,
+                                 EarliestAfter &next) const {
+  retention_.addNextChange(retention, next);
+  if (goodUntil_ != 0) {
+    next.add(goodUntil_ + 1);
+    next.add(goodUntil_ + staleTime + 1);
+  }
+  if (isConfirmedEmpty_) next.add(lastResortUntil_);
+  for (const auto &[key, target] : targets_) target.flaps.addNextChange(damping, now, next);
+}
+
+} // namespace myrtlehead::endpoint_merge
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -155,9 +155,9 @@
 
 // What rests is counted each tenth of a second; only where there is more than one group.
 void Router::observeGroups() {
-  if (sources_ == nullptr || (preference_.groups() <= 1 && sources_->figures().groups <= 1)) return;
+  if (sources_ == nullptr || (preference_.groups() <= 1 && sources_->figures().priorityGroups <= 1)) return;
   std::vector<priority_selector::PrioritySelector::Group> groups(
-      std::max<std::size_t>(sources_->figures().groups, 1));
+      std::max<std::size_t>(sources_->figures().priorityGroups, 1));
   for (const auto *n : guard_.s.ready) {
     const auto priorityGroup = std::min(static_cast<std::size_t>(n->info.priorityGroup), groups.size() - 1);
     ++groups[priorityGroup].servers;
