--- a/lab/starts.cpp
+++ b/lab/starts.cpp
@@ -32,12 +32,12 @@
     naming.sets = {{"_pg._tcp.maps.example", 1, -1}};
     if (!jitter) {
       naming.startSpread = 0;
-      naming.resolution.refreshFrom = naming.resolution.refreshTo = 0.85;
+      naming.resolution.minRefreshFraction = naming.resolution.maxRefreshFraction = 0.85;
     }
     for (int i = 0; i < kMarshals; ++i) {
-      sources.emplace_back(naming.merge, naming.resolution.staleMost, 0, subsetting::Subset(1, 0, 0));
+      sources.emplace_back(naming.merge, naming.resolution.staleTime, 0, subsetting::Subset(1, 0, 0));
       names.emplace_back(sched, budget, sources.back(), naming, static_cast<std::uint64_t>(i), log, counters);
-      sched.spawn(names.back().run(true));
+      sched.spawn(names.back().run(dns_discovery::FirstLookups::spread));
     }
   }
   void print(const char *name, sched::Nanoseconds begun) const {
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -13,46 +13,53 @@
 
 namespace {
 
-sched::Task<> wait(sched::Scheduler &sched, const dns_discovery::DnsDiscovery &names,
-                   sched::Nanoseconds until) {
-  do co_await sched.sleep(kMillisecond * 5);
-  while (!names.settled() && sched.now() < until);
+constexpr int kMaxDescriptors = 512;
+constexpr sched::Nanoseconds kPollInterval = 5 * kMillisecond;
+
+// Ends the scheduler's run when every look-up has finished, or at `deadline`.
+sched::Task<> haltWhenSettled(sched::Scheduler &sched, const dns_discovery::DnsDiscovery &discovery,
+                              sched::Nanoseconds deadline) {
+  do co_await sched.sleep(kPollInterval);
+  while (!discovery.hasSettled() && sched.now() < deadline);
   sched.halt();
 }
 
-nlohmann::json setOut(const dns_discovery::DnsDiscovery &names, const std::string &name, std::size_t number,
-                      sched::Nanoseconds now) {
+nlohmann::json describeSet(const dns_discovery::DnsDiscovery &discovery, const std::string &name,
+                           std::size_t index, sched::Nanoseconds now) {
   const dns::Question question{*dns::canonical(name), dns::Type::srv};
-  constexpr const char *kAges[] = {"never", "fresh", "stale", "expired"};
-  const auto &agenda = names.agenda();
-  nlohmann::json out{{"name", name}, {"state", kAges[static_cast<int>(agenda.age(question, now))]}};
-  if (agenda.goodAt(question) != 0) {
-    out["age_ms"] = (now - agenda.goodAt(question)) / kMillisecond;
-    out["lifetime_left_ms"] = (agenda.goodUntil(question) - now) / kMillisecond;
+  constexpr const char *kStates[] = {"never", "fresh", "stale", "expired"};
+  const auto &schedule = discovery.schedule();
+  const auto *state = kStates[static_cast<int>(schedule.freshness(question, now))];
+  nlohmann::json out{{"name", name}, {"state", state}};
+  if (schedule.goodAt(question) != 0) {
+    out["age_ms"] = (now - schedule.goodAt(question)) / kMillisecond;
+    out["lifetime_left_ms"] = (schedule.goodUntil(question) - now) / kMillisecond;
   }
-  if (!names.lastFailure(number).empty()) out["cause"] = names.lastFailure(number);
+  if (!discovery.lastFailure(index).empty()) out["cause"] = discovery.lastFailure(index);
   return out;
 }
 
-// Each address of each target, as the names tell it.
-nlohmann::json serversOut(const dns_discovery::DnsDiscovery &names,
-                          const endpoint_merge::EndpointMerge &sources, sched::Nanoseconds now) {
+// Each address of each target, as DNS records give it.
+nlohmann::json describeEndpoints(const dns_discovery::DnsDiscovery &discovery,
+                                 const endpoint_merge::EndpointMerge &merge, sched::Nanoseconds now) {
   nlohmann::json out = nlohmann::json::array();
-  const auto snapshot = sources.snapshot();
+  const auto snapshot = merge.snapshot();
+  const auto &schedule = discovery.schedule();
   for (const auto &set : snapshot.sets)
-    for (const auto &server : set.targets) {
+    for (const auto &saved : set.targets) {
+      const auto &target = saved.target;
       const auto host = std::find_if(snapshot.hosts.begin(), snapshot.hosts.end(),
-                                     [&](const auto &h) { return h.name == server.target.host; });
-      const auto until = std::max(names.agenda().goodUntil({server.target.host, dns::Type::a}),
-                                  names.agenda().goodUntil({server.target.host, dns::Type::aaaa}));
-      const auto addresses = host == snapshot.hosts.end() ? std::vector<std::string>{} : host->addresses;
-      for (const auto &address : addresses)
-        out.push_back({{"name", server.target.host},
-                       {"address", address + ":" + std::to_string(server.target.port)},
-                       {"priority", server.target.priority},
-                       {"weight", server.target.weight},
+                                     [&](const auto &known) { return known.name == target.host; });
+      if (host == snapshot.hosts.end()) continue;
+      const auto addressesUntil = std::max(schedule.goodUntil({target.host, dns::Type::a}),
+                                           schedule.goodUntil({target.host, dns::Type::aaaa}));
+      for (const auto &address : host->addresses)
+        out.push_back({{"name", target.host},
+                       {"address", address + ":" + std::to_string(target.port)},
+                       {"priority", target.priority},
+                       {"weight", target.weight},
                        {"build", host->release < 0 ? "unknown" : std::to_string(host->release)},
-                       {"lifetime_left_ms", (std::min(set.goodUntil, until) - now) / kMillisecond},
+                       {"lifetime_left_ms", (std::min(set.goodUntil, addressesUntil) - now) / kMillisecond},
                        {"age_ms", (now - set.goodAt) / kMillisecond},
                        {"source", set.name}});
     }
@@ -79,36 +86,37 @@
 
 } // namespace
 
-int resolve(const std::vector<std::string> &asked, const std::vector<net::Address> &servers,
-            sched::Nanoseconds within, bool json, log::Levels levels) {
-  dns_discovery::DnsSettings naming;
-  naming.servers = servers;
-  for (const auto &name : asked) naming.sets.push_back({name, -1, -1});
+int resolve(const std::vector<std::string> &names, const std::vector<net::Address> &servers,
+            sched::Nanoseconds timeout, bool json, log::Levels levels) {
+  dns_discovery::DnsSettings settings;
+  settings.servers = servers;
+  for (const auto &name : names) settings.sets.push_back({name, -1, -1});
   sched::Scheduler sched;
-  net::DescriptorBudget budget(512);
+  net::DescriptorBudget budget(kMaxDescriptors);
   log::Logs logs(STDERR_FILENO, log::Form::text, std::move(levels));
   prometheus::Registry registry;
-  dns_discovery::DnsMetrics counters(registry);
-  endpoint_merge::EndpointMerge sources(naming.merge, naming.resolution.staleMost, 0,
-                                        subsetting::Subset(1, 0, 0));
+  dns_discovery::DnsMetrics metrics(registry);
+  endpoint_merge::EndpointMerge merge(settings.merge, settings.resolution.staleTime, 0,
+                                      subsetting::Subset(1, 0, 0));
   std::random_device device;
-  dns_discovery::DnsDiscovery names(sched, budget, sources, naming,
-                                    (std::uint64_t{device()} << 32) | device(), logs.of("names"), counters);
-  names.changed = [&] { sources.merged(sched.now()); };
-  sched.spawn(names.run(false));
-  sched.spawn(wait(sched, names, sched.now() + within));
+  const auto seed = (std::uint64_t{device()} << 32) | device();
+  dns_discovery::DnsDiscovery discovery(sched, budget, merge, settings, seed, logs.of("names"), metrics);
+  discovery.onChange = [&] { merge.merged(sched.now()); };
+  sched.spawn(discovery.run(dns_discovery::FirstLookups::immediate));
+  sched.spawn(haltWhenSettled(sched, discovery, sched.now() + timeout));
   sched.run();
   const auto now = sched.now();
   nlohmann::json out{{"sets", nlohmann::json::array()}, {"servers", nlohmann::json::array()}};
-  for (std::size_t i = 0; i < asked.size(); ++i) out["sets"].push_back(setOut(names, asked[i], i, now));
-  out["servers"] = serversOut(names, sources, now);
-  const bool known = !out["servers"].empty();
+  for (std::size_t i = 0; i < names.size(); ++i)
+    out["sets"].push_back(describeSet(discovery, names[i], i, now));
+  out["servers"] = describeEndpoints(discovery, merge, now);
+  const bool anyKnown = !out["servers"].empty();
   if (json)
     fmt::print("{}\n", out.dump(2));
   else
     print(out);
   sched.endAll();
-  return known ? 0 : 1;
+  return anyKnown ? 0 : 1;
 }
 
 } // namespace myrtlehead::app
--- a/src/app/resolve.h
+++ b/src/app/resolve.h
@@ -1,4 +1,4 @@
-// `myrtlehead resolve`: what an instance would make of name records, asked once.
+// `myrtlehead resolve`: looks SRV names up once and prints what an instance would make of their records.
 #pragma once
 
 #include "base/log/log.h"
@@ -9,9 +9,9 @@
 
 namespace myrtlehead::app {
 
-// Writes the servers, their lifetimes and where they come from. 0: some are known; 1: none is, with the
-// cause.
+// Prints the endpoints with their TTLs and sources, as a table or as JSON. `timeout`: for all look-ups, in
+// nanoseconds. Returns the exit code: 0: there are endpoints; 1: there are none, and the causes are printed.
 int resolve(const std::vector<std::string> &names, const std::vector<net::Address> &servers,
-            sched::Nanoseconds within, bool json, log::Levels levels);
+            sched::Nanoseconds timeout, bool json, log::Levels levels);
 
 } // namespace myrtlehead::app
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -95,7 +95,7 @@
   const auto rest = settings::needsRestart(parts.installed, read.installation);
   if (!rest.empty()) log.warning("needs a restart to take up", {{"fields", rest}});
   if (!parts.paths.logLevels) parts.logs.take(read.installation.levels);
-  if (parts.names != nullptr) parts.names->serversMoved(read.installation.naming.servers);
+  if (parts.names != nullptr) parts.names->setServers(read.installation.naming.servers);
 }
 
 sched::Task<> takeUp(sched::Scheduler &sched, const Movable &parts, Wish &wish, log::Log &log) {
@@ -145,14 +145,15 @@
   NamesPart(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
             const bootstrap::BootstrapConfig &station, const settings::Settings &installation, log::Log log)
       : counters(registry),
-        sources(installation.naming.merge, installation.naming.resolution.staleMost, station.deployment.zone,
+        sources(installation.naming.merge, installation.naming.resolution.staleTime, station.deployment.zone,
                 subsetting::Subset(station.deployment.instanceCount, station.deployment.ownIndex,
                                    installation.naming.subset)),
         names(sched, budget, sources, installation.naming, station.seed + 2, std::move(log), counters) {
     router.mergeWith(sources);
-    names.changed = [&router] { router.onMergeChanged(); };
+    names.onChange = [&router] { router.onMergeChanged(); };
     if (!installation.stateFolder.empty())
-      names.keepIn(installation.stateFolder + "/names", {"names", station.name}, unixAtZero(sched.now()));
+      names.openStateFile(installation.stateFolder + "/names", {"names", station.name},
+                          unixAtZero(sched.now()));
   }
   prometheus::Registry registry;
   dns_discovery::DnsMetrics counters;
@@ -231,7 +232,9 @@
     sched.spawn(datagrams->send());
     sched.spawn(datagrams->receive());
   }
-  if (names) sched.spawn(names->names.run(station.known.kind != json::Value::null));
+  using dns_discovery::FirstLookups;
+  const bool hasList = station.known.kind != json::Value::null;
+  if (names) sched.spawn(names->names.run(hasList ? FirstLookups::spread : FirstLookups::immediate));
   if (endpoint) {
     log.info("metrics are told", {{"at", net::text(endpoint->address())}});
     sched.spawn(endpoint->accept());
@@ -246,7 +249,7 @@
   log.info("marshal serves",
            {{"name", station.name}, {"routes", station.routes.size()}, {"at", net::text(door.address())}});
   sched.run();
-  if (names) names->names.saveNow();
+  if (names) names->names.saveAtExit();
   sched.endAll(); // before what the coroutines refer to
 }
 
--- a/src/app/settings/settings.cpp
+++ b/src/app/settings/settings.cpp
@@ -51,7 +51,7 @@
 
 void readSet(const toml::table &in, const std::string &path, const std::vector<std::string> &zones,
              dns_discovery::DnsSettings &out, std::vector<Fault> &faults) {
-  dns_discovery::NamedSet set;
+  dns_discovery::SrvNameSettings set;
   {
     Reader r(in, path, faults);
     r.word("name", "a domain name such as \"_pg._tcp.maps.example\"", [&](const std::string &text) {
@@ -104,14 +104,14 @@
   readServers(r, naming);
   readSets(r, zones, naming, faults);
   r.duration("start_spread", 0, 600 * kSecond, naming.startSpread);
-  r.duration("least_lifetime", 100 * kMillisecond, kDay, naming.resolution.floor);
-  r.duration("most_lifetime", kSecond, 7 * kDay, naming.resolution.ceiling);
-  r.duration("stale_most", 0, 30 * kDay, naming.resolution.staleMost);
+  r.duration("least_lifetime", 100 * kMillisecond, kDay, naming.resolution.minTtl);
+  r.duration("most_lifetime", kSecond, 7 * kDay, naming.resolution.maxTtl);
+  r.duration("stale_most", 0, 30 * kDay, naming.resolution.staleTime);
   r.duration("loss_hold", 0, 3600 * kSecond, naming.merge.lossRetention.retentionTime);
   r.duration("departed_for", kSecond, 7 * kDay, naming.merge.departedMemoryTime);
   r.whole("subset", 0, 20'000, naming.subset);
   const int line = static_cast<int>(in.source().begin.line);
-  if (naming.resolution.floor > naming.resolution.ceiling)
+  if (naming.resolution.minTtl > naming.resolution.maxTtl)
     faults.push_back({line, "names.least_lifetime", "is above most_lifetime"});
   if (naming.servers.empty() != naming.sets.empty())
     faults.push_back({line, "names", "expected both 'servers' and [[names.set]], or neither"});
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -6,302 +6,357 @@
 
 namespace myrtlehead::dns_discovery {
 
-using dns_resolution::Answer;
-using dns_resolution::Said;
+using dns_resolution::LookupOutcome;
+using dns_resolution::LookupResult;
+using dns_resolution::Transport;
 using endpoint_merge::DnsRecordsResult;
 using endpoint_merge::NextLookup;
 
 namespace {
 
-constexpr Nanoseconds kAtOnce = kSecond / 4; // the first look-ups, where there is nothing to serve from
-constexpr Nanoseconds kKeepEvery = kSecond, kKeepAtLast = 10 * kSecond; // the state on disk, at most
-constexpr Nanoseconds kGather = kSecond / 4;                            // addresses of the first servers
-constexpr Nanoseconds kLongestPause = 60 * kSecond;
+// The first look-ups fall within this time where there is nothing to serve from.
+constexpr Nanoseconds kImmediateSpread = kSecond / 4;
 
-DnsRecordsResult recordsResultOf(Said said) {
-  return said == Said::records  ? DnsRecordsResult::records
-         : said == Said::denied ? DnsRecordsResult::nxDomain
-         : said == Said::empty  ? DnsRecordsResult::noData
-                                : DnsRecordsResult::failed;
+// The state is saved at most this often: when no look-up is in flight, and otherwise.
+constexpr Nanoseconds kSaveInterval = kSecond;
+constexpr Nanoseconds kSaveIntervalInFlight = 10 * kSecond;
+
+// How long the addresses of the first endpoints are waited for after the first outcome.
+constexpr Nanoseconds kGatherTime = kSecond / 4;
+
+constexpr Nanoseconds kMaxSleep = 60 * kSecond;
+
+DnsRecordsResult recordsResultOf(LookupResult result) {
+  switch (result) {
+  case LookupResult::records:
+    return DnsRecordsResult::records;
+  case LookupResult::nxDomain:
+    return DnsRecordsResult::nxDomain;
+  case LookupResult::noData:
+    return DnsRecordsResult::noData;
+  case LookupResult::failed:
+    break;
+  }
+  return DnsRecordsResult::failed;
+}
+
+const char *textOf(LookupResult result) {
+  constexpr const char *kTexts[] = {"records", "NXDOMAIN", "NODATA", "failed"};
+  return kTexts[static_cast<int>(result)];
+}
+
+// Why an SRV look-up gave no records; "" if it did.
+std::string failureOf(const LookupOutcome &outcome) {
+  switch (outcome.result) {
+  case LookupResult::records:
+    return "";
+  case LookupResult::nxDomain:
+    return "no such name";
+  case LookupResult::noData:
+    return "the name has no SRV records";
+  case LookupResult::failed:
+    break;
+  }
+  return outcome.failure;
 }
 
 } // namespace
 
 DnsDiscovery::DnsDiscovery(net::Scheduler &sched, net::DescriptorBudget &budget,
-                           endpoint_merge::EndpointMerge &sources, const DnsSettings &naming,
-                           std::uint64_t seed, log::Log log, DnsMetrics &counters)
-    : sched_(sched), budget_(budget), sources_(sources), naming_(naming), log_(std::move(log)),
-      counters_(counters), chance_(seed), agenda_(naming.resolution, seed + 1) {
-  for (const auto &set : naming.sets) {
+                           endpoint_merge::EndpointMerge &merge, const DnsSettings &settings,
+                           std::uint64_t seed, log::Log log, DnsMetrics &metrics)
+    : sched_(sched), budget_(budget), merge_(merge), settings_(settings), log_(std::move(log)),
+      metrics_(metrics), random_(seed), schedule_(settings.resolution, seed + 1) {
+  for (const auto &set : settings.sets) {
     const auto name = *dns::canonical(set.name);
-    sources_.addSrvName(name, set.release, set.zone);
+    merge_.addSrvName(name, set.release, set.zone);
     sets_.push_back({name, dns::Type::srv});
   }
-  lastFailure_.resize(sets_.size());
-  heard_.resize(sets_.size());
-  serversMoved(naming.servers);
+  lastFailures_.resize(sets_.size());
+  hasOutcome_.resize(sets_.size());
+  setServers(settings.servers);
 }
 
-void DnsDiscovery::serversMoved(std::vector<net::Address> servers) {
-  const bool same = servers_ != nullptr &&
-                    std::equal(servers.begin(), servers.end(), servers_->begin(), servers_->end(),
-                               [](const net::Address &at, const auto &server) { return at == server->at; });
-  if (servers.empty() || same) return; // without any there is nobody to ask: those that were stay
-  servers_ = std::make_shared<std::vector<std::unique_ptr<Server>>>();
-  for (const auto &at : servers)
-    servers_->push_back(std::make_unique<Server>(Server{at, std::make_shared<TcpLine>(sched_, budget_, at)}));
-  health_ = std::make_shared<dns_resolution::NameServers>(servers.size());
+void DnsDiscovery::setServers(std::vector<net::Address> addresses) {
+  const bool areSame = servers_ != nullptr &&
+                       std::equal(addresses.begin(), addresses.end(), servers_->begin(), servers_->end(),
+                                  [](const net::Address &address, const auto &server) {
+                                    return address == server->address;
+                                  });
+  if (addresses.empty() || areSame) return;
+  servers_ = std::make_shared<Servers>();
+  for (const auto &address : addresses) {
+    auto tcpClient = std::make_shared<TcpQueryClient>(sched_, budget_, address);
+    servers_->push_back(std::make_unique<Server>(Server{address, std::move(tcpClient)}));
+  }
+  serverStates_ = std::make_shared<dns_resolution::DnsServers>(addresses.size());
 }
 
-net::Task<> DnsDiscovery::run(bool mayWait) {
-  for (const auto &question : sets_)
-    agenda_.want(question, mayWait ? naming_.startSpread : kAtOnce, sched_.now());
-  wantHosts();
+net::Task<> DnsDiscovery::run(FirstLookups first) {
+  const Nanoseconds spread = first == FirstLookups::spread ? settings_.startSpread : kImmediateSpread;
+  for (const auto &question : sets_) schedule_.add(question, spread, sched_.now());
+  scheduleHosts();
   for (;;) {
-    while (const auto question = agenda_.take(sched_.now())) sched_.spawn(flight(*question));
-    const bool due = changed_ || sources_.nextChange(publishedAt_) <= sched_.now();
-    if (due && !gathering()) publish();
-    keep();
-    const Nanoseconds next = std::min(
-        {agenda_.nextAt(), sources_.nextChange(publishedAt_), sched_.now() + kLongestPause});
-    const bool waits = gathering() && gatherUntil_ != 0;
-    const sched::Deadline until{waits ? std::min(next, gatherUntil_) : next, nullptr};
-    co_await sched_.wait(touched_, until);
+    while (const auto question = schedule_.startDue(sched_.now())) sched_.spawn(lookUp(*question));
+    const bool isDue = needsPublishing_ || merge_.nextChange(publishedAt_) <= sched_.now();
+    if (isDue && !isGathering()) publish();
+    saveIfDue();
+    Nanoseconds wakeAt = std::min(
+        {schedule_.nextDueAt(), merge_.nextChange(publishedAt_), sched_.now() + kMaxSleep});
+    if (isGathering() && gatherUntil_ != 0) wakeAt = std::min(wakeAt, gatherUntil_);
+    const sched::Deadline deadline{wakeAt, nullptr};
+    co_await sched_.wait(lookupFinished_, deadline);
   }
 }
 
-// Guards the first few servers of a life, whose addresses come first, against the requests of all.
-bool DnsDiscovery::gathering() {
-  const bool asked = agenda_.open() > 0 || agenda_.nextAt() <= sched_.now();
-  gathered_ = gathered_ || (gatherUntil_ != 0 && (!asked || sched_.now() >= gatherUntil_));
-  return !gathered_;
+// Guards the few endpoints whose addresses come first after a start against the requests of all.
+bool DnsDiscovery::isGathering() {
+  const bool isLookingUp = schedule_.inFlight() > 0 || schedule_.nextDueAt() <= sched_.now();
+  const bool isOver = gatherUntil_ != 0 && (!isLookingUp || sched_.now() >= gatherUntil_);
+  hasGathered_ = hasGathered_ || isOver;
+  return !hasGathered_;
 }
 
-net::Task<Asked> DnsDiscovery::ask(const dns_resolution::Ask &ask) {
-  const net::Deadline until{sched_.now() + ask.within, nullptr};
-  auto &server = *(*servers_)[ask.server];
-  counters_.query(ask.tcp);
-  if (ask.tcp) co_return co_await server.line->ask(ask.sent, until);
-  co_return co_await askOverUdp(sched_, budget_, server.at, ask.sent, until);
+net::Task<QueryResult> DnsDiscovery::send(const dns_resolution::Query &query) {
+  const net::Deadline deadline{sched_.now() + query.timeout, nullptr};
+  auto &server = *(*servers_)[query.server];
+  metrics_.onQuery(query.transport);
+  if (query.transport == Transport::tcp) co_return co_await server.tcpClient->query(query.sent, deadline);
+  co_return co_await queryOverUdp(sched_, budget_, server.address, query.sent, deadline);
 }
 
-net::Task<> DnsDiscovery::flight(dns::Question question) {
-  const auto servers = servers_; // they may move meanwhile
-  const auto health = health_;
-  dns_resolution::Lookup lookup(question, naming_.resolution, *health);
-  while (!lookup.over()) {
-    const auto next = lookup.next(sched_.now(), chance_);
+net::Task<> DnsDiscovery::lookUp(dns::Question question) {
+  const auto servers = servers_; // setServers() may replace them meanwhile
+  const auto serverStates = serverStates_;
+  dns_resolution::Lookup lookup(question, settings_.resolution, *serverStates);
+  while (!lookup.isFinished()) {
+    const auto query = lookup.nextQuery(sched_.now(), random_);
     if (servers != servers_) break;
-    const auto asked = co_await ask(next);
-    if (!asked.answered) counters_.mishap(asked.mishap);
-    if (asked.answered)
-      lookup.answered(asked.message, asked.folded, sched_.now());
-    else
-      lookup.mishap(asked.mishap, sched_.now());
+    const auto result = co_await send(query);
+    if (result.hasResponse) {
+      lookup.onResponse(result.message, result.letterCase, sched_.now());
+    } else {
+      metrics_.onQueryError(result.error);
+      lookup.onError(result.error, sched_.now());
+    }
   }
-  const auto &answer = lookup.answer();
-  counters_.lookup(answer.said);
-  log_.debug("look-up", {{"name", question.name},
-                         {"type", word(question.type)},
-                         {"said", word(answer.said)},
-                         {"records", answer.records.size()},
-                         {"why", answer.why}});
-  if (agenda_.told(question, answer, sched_.now())) settle(question, answer);
-  touched_.notify();
+  const auto &outcome = lookup.outcome();
+  metrics_.onLookupFinished(outcome.result);
+  log_.debug("DNS look-up", {{"name", question.name},
+                             {"type", word(question.type)},
+                             {"result", textOf(outcome.result)},
+                             {"records", outcome.records.size()},
+                             {"failure", outcome.failure}});
+  if (schedule_.onOutcome(question, outcome, sched_.now())) onOutcome(question, outcome);
+  lookupFinished_.notify();
 }
 
-void DnsDiscovery::settle(const dns::Question &question, const Answer &answer) {
+void DnsDiscovery::onOutcome(const dns::Question &question, const LookupOutcome &outcome) {
   const auto set = std::find(sets_.begin(), sets_.end(), question);
   if (set != sets_.end())
-    settleSet(static_cast<std::size_t>(set - sets_.begin()), question, answer);
+    onSrvOutcome(static_cast<std::size_t>(set - sets_.begin()), question, outcome);
   else
-    settleHost(question, answer);
-  changed_ = true;
-  if (answer.said != Said::failed) unkept_ = true;
+    onHostOutcome(question, outcome);
+  needsPublishing_ = true;
+  if (outcome.result != LookupResult::failed) hasUnsavedState_ = true;
 }
 
-void DnsDiscovery::settleSet(std::size_t set, const dns::Question &question, const Answer &answer) {
-  heard_[set] = true;
-  lastFailure_[set] = answer.said == Said::records  ? ""
-                      : answer.said == Said::failed ? answer.why
-                      : answer.said == Said::denied ? "no such name"
-                                                    : "the name has no SRV records";
-  auto result = recordsResultOf(answer.said);
+void DnsDiscovery::onSrvOutcome(std::size_t set, const dns::Question &question,
+                                const LookupOutcome &outcome) {
+  hasOutcome_[set] = true;
+  lastFailures_[set] = failureOf(outcome);
+  auto result = recordsResultOf(outcome.result);
   std::vector<endpoint_merge::Target> targets;
-  for (const auto &r : answer.records)
-    if (!r.target.empty()) targets.push_back({r.target, r.port, r.priority, r.weight});
+  for (const auto &record : outcome.records)
+    if (!record.target.empty())
+      targets.push_back({record.target, record.port, record.priority, record.weight});
   if (result == DnsRecordsResult::records && targets.empty()) {
     result = DnsRecordsResult::notAvailable;
-    lastFailure_[set] = "decidedly not available: the target is '.'";
+    lastFailures_[set] = "decidedly not available: the target is '.'";
   }
-  const auto next = sources_.onSrvAnswer(set, result, targets, agenda_.goodUntil(question), sched_.now());
+  const auto next = merge_.onSrvAnswer(set, result, targets, schedule_.goodUntil(question), sched_.now());
   if (next == NextLookup::soon)
-    agenda_.hasten(question, naming_.merge.lossRetention.confirmationInterval, sched_.now());
-  if (gatherUntil_ == 0) gatherUntil_ = sched_.now() + kGather;
-  takeAdditional(answer);
-  wantHosts();
+    schedule_.refreshSoon(question, settings_.merge.lossRetention.confirmationInterval, sched_.now());
+  if (gatherUntil_ == 0) gatherUntil_ = sched_.now() + kGatherTime;
+  useAdditionalAddresses(outcome);
+  scheduleHosts();
 }
 
-// Addresses that came along spare a look-up each.
-void DnsDiscovery::takeAdditional(const Answer &answer) {
-  std::map<std::string, std::pair<std::vector<std::string>, Nanoseconds>> byHost;
-  for (const auto &r : answer.additional) {
-    if (r.type != dns::Type::a) continue;
-    auto &[addresses,
-           lifetime] = byHost.try_emplace(r.owner, std::vector<std::string>{}, INT64_MAX).first->second;
-    addresses.push_back(r.address);
-    lifetime = std::min<Nanoseconds>(lifetime, r.ttl * kSecond);
+// Addresses in the additional section spare a look-up each.
+void DnsDiscovery::useAdditionalAddresses(const LookupOutcome &outcome) {
+  struct Addresses {
+    std::vector<std::string> addresses;
+    Nanoseconds ttl = INT64_MAX; // the shortest
+  };
+  std::map<std::string, Addresses> byHost;
+  for (const auto &record : outcome.additional) {
+    if (record.type != dns::Type::a) continue;
+    auto &host = byHost[record.owner];
+    host.addresses.push_back(record.address);
+    host.ttl = std::min<Nanoseconds>(host.ttl, record.ttl * kSecond);
   }
-  const auto wanted = byHost.empty() ? std::vector<endpoint_merge::EndpointMerge::HostLookup>{}
-                                     : sources_.hostsToResolve();
-  for (const auto &w : wanted) {
-    const auto it = byHost.find(w.host);
-    if (it == byHost.end()) continue;
-    sources_.onAddressAnswer(w.host, DnsRecordsResult::records, it->second.first);
-    agenda_.cameAlong({w.host, dns::Type::a}, it->second.second, sched_.now());
+  if (byHost.empty()) return;
+  for (const auto &wanted : merge_.hostsToResolve()) {
+    const auto host = byHost.find(wanted.host);
+    if (host == byHost.end()) continue;
+    merge_.onAddressAnswer(wanted.host, DnsRecordsResult::records, host->second.addresses);
+    schedule_.onAdditionalRecords({wanted.host, dns::Type::a}, host->second.ttl, sched_.now());
   }
 }
 
-void DnsDiscovery::settleHost(const dns::Question &question, const Answer &answer) {
+void DnsDiscovery::onTxtOutcome(const std::string &host, const LookupOutcome &outcome) {
+  if (outcome.result == LookupResult::failed) return;
+  int release = -1;
+  for (const auto &record : outcome.records)
+    release = std::max(release, endpoint_merge::releaseIn(record.text));
+  merge_.onReleaseAnswer(host, release);
+}
+
+void DnsDiscovery::onHostOutcome(const dns::Question &question, const LookupOutcome &outcome) {
   const auto &host = question.name;
-  if (question.type == dns::Type::txt) {
-    if (answer.said == Said::failed) return;
-    int release = -1;
-    for (const auto &r : answer.records) release = std::max(release, endpoint_merge::releaseIn(r.text));
-    return sources_.onReleaseAnswer(host, release);
-  }
-  // IPv4 before IPv6: the latter is asked for only where there is none of the former.
-  const dns::Question six{host, dns::Type::aaaa};
-  const bool isFour = question.type == dns::Type::a;
-  if (isFour && (answer.said == Said::denied || answer.said == Said::empty))
-    return agenda_.want(six, 0, sched_.now());
+  if (question.type == dns::Type::txt) return onTxtOutcome(host, outcome);
+  // IPv4 before IPv6: AAAA records are looked up only where there are no A records.
+  const dns::Question ipv6{host, dns::Type::aaaa};
+  const bool isIpv4 = question.type == dns::Type::a;
+  const bool isNegative = outcome.result == LookupResult::nxDomain || outcome.result == LookupResult::noData;
+  if (isIpv4 && isNegative) return schedule_.add(ipv6, 0, sched_.now());
   std::vector<std::string> addresses;
-  for (const auto &r : answer.records) addresses.push_back(r.address);
-  if (isFour && answer.said == Said::records) agenda_.forget(six);
-  const auto next = sources_.onAddressAnswer(host, recordsResultOf(answer.said), std::move(addresses));
+  for (const auto &record : outcome.records) addresses.push_back(record.address);
+  if (isIpv4 && outcome.result == LookupResult::records) schedule_.remove(ipv6);
+  const auto next = merge_.onAddressAnswer(host, recordsResultOf(outcome.result), std::move(addresses));
   if (next == NextLookup::soon)
-    agenda_.hasten(question, naming_.merge.lossRetention.confirmationInterval, sched_.now());
+    schedule_.refreshSoon(question, settings_.merge.lossRetention.confirmationInterval, sched_.now());
 }
 
-void DnsDiscovery::wantHosts() {
+void DnsDiscovery::scheduleHosts() {
   std::map<std::string, bool> wanted;
-  for (const auto &w : sources_.hostsToResolve()) wanted[w.host] = w.needsRelease;
-  for (const auto &[host, release] : hosts_)
-    if (!wanted.contains(host))
-      for (const auto type : {dns::Type::a, dns::Type::aaaa, dns::Type::txt}) agenda_.forget({host, type});
-  for (const auto &[host, release] : wanted) {
-    agenda_.want({host, dns::Type::a}, 0, sched_.now());
-    if (release) agenda_.want({host, dns::Type::txt}, 0, sched_.now());
+  for (const auto &host : merge_.hostsToResolve()) wanted[host.host] = host.needsRelease;
+  for (const auto &[host, needsRelease] : hosts_) {
+    if (wanted.contains(host)) continue;
+    for (const auto type : {dns::Type::a, dns::Type::aaaa, dns::Type::txt}) schedule_.remove({host, type});
+  }
+  for (const auto &[host, needsRelease] : wanted) {
+    schedule_.add({host, dns::Type::a}, 0, sched_.now());
+    if (needsRelease) schedule_.add({host, dns::Type::txt}, 0, sched_.now());
   }
   hosts_.swap(wanted);
 }
 
 void DnsDiscovery::publish() {
-  changed_ = false;
+  needsPublishing_ = false;
   publishedAt_ = sched_.now();
-  if (changed) changed();
-  const auto &figures = sources_.figures();
-  Nanoseconds oldest = 0;
+  if (onChange) onChange();
+  const auto &statistics = merge_.figures();
+  Nanoseconds staleness = 0;
   for (const auto &question : sets_) {
-    const Nanoseconds until = agenda_.goodUntil(question);
-    if (until != 0) oldest = std::max(oldest, sched_.now() - until);
+    const Nanoseconds until = schedule_.goodUntil(question);
+    if (until != 0) staleness = std::max(staleness, sched_.now() - until);
   }
-  counters_.set(figures);
-  counters_.staleness(static_cast<double>(oldest) / 1e9);
-  tellMode(figures);
+  metrics_.setMergeStatistics(statistics);
+  metrics_.setStaleness(static_cast<double>(staleness) / 1e9);
+  logCondition(statistics);
 }
 
-// One line where the condition of the set changes, with its figures.
-void DnsDiscovery::tellMode(const endpoint_merge::MergeStatistics &f) {
-  const auto &was = mode_;
-  const auto same = [](auto a, auto b) { return (a > 0) == (b > 0); };
-  const bool kept = moded_ && same(was.endpoints, f.endpoints) && same(was.staleSets, f.staleSets) &&
-                    same(was.expiredSets, f.expiredSets) && same(was.emptySets, f.emptySets) &&
-                    same(was.retainedTargets, f.retainedTargets) &&
-                    same(was.suppressedTargets, f.suppressedTargets) && was.isLastResort == f.isLastResort &&
-                    was.isListDown == f.isListDown && same(was.drainingButInDns, f.drainingButInDns);
-  mode_ = f;
-  if (kept) return;
-  moded_ = true;
-  const char *mode = f.endpoints == 0        ? "no server is known"
-                     : f.isLastResort        ? "names are believed as a last resort"
-                     : f.expiredSets > 0     ? "names have expired"
-                     : f.retainedTargets > 0 ? "a sudden loss is held"
-                     : f.staleSets > 0       ? "names are stale"
-                     : f.emptySets > 0       ? "names are denied"
-                                             : "names are followed";
-  log_.info(mode, {{"servers", f.endpoints},
-                   {"listed", f.listed},
-                   {"named", f.inDns},
-                   {"stale_sets", f.staleSets},
-                   {"held", f.retainedTargets},
-                   {"damped", f.suppressedTargets},
-                   {"drained_but_named", f.drainingButInDns},
-                   {"unknown_build", f.unknownBuilds},
-                   {"list_down", f.isListDown}});
+namespace {
+
+// The condition of the merged set, the most urgent first.
+const char *conditionOf(const endpoint_merge::MergeStatistics &s) {
+  if (s.endpoints == 0) return "no endpoint is known";
+  if (s.isLastResort) return "DNS records are used as a last resort";
+  if (s.expiredSets > 0) return "DNS records have expired";
+  if (s.retainedTargets > 0) return "a sudden loss is retained";
+  if (s.staleSets > 0) return "DNS records are stale";
+  if (s.emptySets > 0) return "DNS names have no records";
+  return "DNS records are followed";
+}
+
+bool isSameCondition(const endpoint_merge::MergeStatistics &a, const endpoint_merge::MergeStatistics &b) {
+  const auto bothOrNeither = [](auto x, auto y) { return (x > 0) == (y > 0); };
+  return bothOrNeither(a.endpoints, b.endpoints) && bothOrNeither(a.staleSets, b.staleSets) &&
+         bothOrNeither(a.expiredSets, b.expiredSets) && bothOrNeither(a.emptySets, b.emptySets) &&
+         bothOrNeither(a.retainedTargets, b.retainedTargets) &&
+         bothOrNeither(a.suppressedTargets, b.suppressedTargets) && a.isLastResort == b.isLastResort &&
+         a.isListDown == b.isListDown && bothOrNeither(a.drainingButInDns, b.drainingButInDns);
+}
+
+} // namespace
+
+// One line whenever the condition of the merged set changes.
+void DnsDiscovery::logCondition(const endpoint_merge::MergeStatistics &statistics) {
+  const bool isUnchanged = hasLoggedCondition_ && isSameCondition(loggedStatistics_, statistics);
+  loggedStatistics_ = statistics;
+  if (isUnchanged) return;
+  hasLoggedCondition_ = true;
+  log_.info(conditionOf(statistics), {{"endpoints", statistics.endpoints},
+                                      {"listed", statistics.listed},
+                                      {"in_dns", statistics.inDns},
+                                      {"stale_sets", statistics.staleSets},
+                                      {"retained", statistics.retainedTargets},
+                                      {"suppressed", statistics.suppressedTargets},
+                                      {"draining_but_in_dns", statistics.drainingButInDns},
+                                      {"unknown_build", statistics.unknownBuilds},
+                                      {"list_down", statistics.isListDown}});
 }
 
-bool DnsDiscovery::settled() const {
-  if (std::find(heard_.begin(), heard_.end(), false) != heard_.end()) return false;
-  return agenda_.open() == 0 && agenda_.nextAt() > sched_.now();
+bool DnsDiscovery::hasSettled() const {
+  if (std::find(hasOutcome_.begin(), hasOutcome_.end(), false) != hasOutcome_.end()) return false;
+  return schedule_.inFlight() == 0 && schedule_.nextDueAt() > sched_.now();
 }
 
-std::string DnsDiscovery::sealed() const {
-  return storage::seal(kind_, encodeSnapshot(sources_.snapshot(), unixAtZero_, sched_.now()));
+std::string DnsDiscovery::encodedState() const {
+  return storage::seal(stateIdentity_, encodeSnapshot(merge_.snapshot(), unixAtZero_, sched_.now()));
 }
 
-// As soon as no look-up is out, or after a while all the same.
-Nanoseconds DnsDiscovery::keepAt(bool whole) const { return keptAt_ + (whole ? kKeepEvery : kKeepAtLast); }
-
-void DnsDiscovery::keep() {
-  if (writer_ == nullptr) return;
-  if (const auto fault = writer_->lastFault(); !fault.empty())
-    log_.warning("the state of names is not kept", {{"why", fault}});
-  // Guards a next life against half a state: what has no address yet, or no server at all, does not take the
-  // place of what served.
-  const bool whole = agenda_.open() == 0;
-  if (!unkept_ || sources_.figures().endpoints == 0 || sched_.now() < keepAt(whole)) return;
-  unkept_ = false;
-  keptAt_ = sched_.now();
-  writer_->put(sealed());
+void DnsDiscovery::saveIfDue() {
+  if (stateWriter_ == nullptr) return;
+  if (const auto error = stateWriter_->lastFault(); !error.empty())
+    log_.warning("the DNS state can't be saved", {{"why", error}});
+  // Guards the next start against half a state: one without any endpoint does not replace one that served,
+  // and one whose addresses are still being looked up waits.
+  const Nanoseconds interval = schedule_.inFlight() == 0 ? kSaveInterval : kSaveIntervalInFlight;
+  if (!hasUnsavedState_ || merge_.figures().endpoints == 0 || sched_.now() < savedAt_ + interval) return;
+  hasUnsavedState_ = false;
+  savedAt_ = sched_.now();
+  stateWriter_->put(encodedState());
 }
 
-void DnsDiscovery::saveNow() {
-  if (writer_ == nullptr) return;
-  writer_ = nullptr; // what was handed over is saved first
-  if (sources_.figures().endpoints == 0) return;
-  const auto fault = storage::save(path_, sealed());
-  if (!fault.empty()) log_.warning("the state of names is not kept", {{"why", fault}});
+void DnsDiscovery::saveAtExit() {
+  if (stateWriter_ == nullptr) return;
+  stateWriter_ = nullptr; // saves what was submitted first
+  if (merge_.figures().endpoints == 0) return;
+  const auto error = storage::save(statePath_, encodedState());
+  if (!error.empty()) log_.warning("the DNS state can't be saved", {{"why", error}});
 }
 
-bool DnsDiscovery::keepIn(const std::string &path, storage::Kind kind, sched::Nanoseconds unixAtZero) {
-  path_ = path;
-  kind_ = std::move(kind);
-  kind_.format = kSnapshotFormat;
+bool DnsDiscovery::openStateFile(const std::string &path, storage::Kind identity,
+                                 sched::Nanoseconds unixAtZero) {
+  statePath_ = path;
+  stateIdentity_ = std::move(identity);
+  stateIdentity_.format = kSnapshotFormat;
   unixAtZero_ = unixAtZero;
-  const auto opened = storage::load(path, kind_);
-  Nanoseconds savedAt = 0;
-  auto snapshot = opened.refusal == storage::Opened::none
-                      ? decodeSnapshot(opened.payload, unixAtZero, savedAt)
-                      : std::nullopt;
-  writer_ = std::make_unique<storage::Writer>(path);
-  if (!snapshot) {
-    if (opened.refusal != storage::Opened::missing)
-      log_.warning("the kept state of names is refused",
-                   {{"file", path},
-                    {"why", opened.refusal == storage::Opened::none ? "it can't be read" : opened.why}});
+  const auto loaded = storage::load(path, stateIdentity_);
+  const bool isLoaded = loaded.refusal == storage::Opened::none;
+  const auto decoded = isLoaded ? decodeSnapshot(loaded.payload, unixAtZero) : std::nullopt;
+  stateWriter_ = std::make_unique<storage::Writer>(path);
+  if (!decoded) {
+    if (loaded.refusal != storage::Opened::missing)
+      log_.warning("the saved DNS state is rejected",
+                   {{"file", path}, {"why", isLoaded ? "it can't be read" : loaded.why}});
     return false;
   }
-  gathered_ = true;
-  sources_.restore(*snapshot, sched_.now());
-  for (const auto &set : snapshot->sets) {
+  hasGathered_ = true;
+  const auto &snapshot = decoded->snapshot;
+  merge_.restore(snapshot, sched_.now());
+  for (const auto &set : snapshot.sets) {
     const dns::Question question{set.name, dns::Type::srv};
-    agenda_.want(question, naming_.startSpread, sched_.now());
-    agenda_.restore(question, set.goodAt, set.goodUntil);
+    schedule_.add(question, settings_.startSpread, sched_.now());
+    schedule_.restore(question, set.goodAt, set.goodUntil);
   }
-  log_.info("the kept state of names is served until names answer",
-            {{"file", path}, {"age_s", (sched_.now() - savedAt) / kSecond}, {"sets", snapshot->sets.size()}});
-  changed_ = true;
+  log_.info("the saved DNS state is used until DNS servers answer",
+            {{"file", path},
+             {"age_s", (sched_.now() - decoded->savedAt) / kSecond},
+             {"sets", snapshot.sets.size()}});
+  needsPublishing_ = true;
   return true;
 }
 
--- a/src/control/dns/dns_discovery.h
+++ b/src/control/dns/dns_discovery.h
@@ -1,5 +1,5 @@
-// Follows name records: carries out what the agenda and the look-ups ask for, tells the sources what came,
-// and keeps their state on disk. Decides nothing.
+// Follows SRV names: carries out the look-ups that the refresh schedule asks for, passes their outcomes to
+// the endpoint merge, and saves the merge's state on disk. Decides nothing about endpoints.
 #pragma once
 
 #include "base/log/log.h"
@@ -14,73 +14,86 @@
 
 namespace myrtlehead::dns_discovery {
 
+// When the first look-ups are made.
+enum class FirstLookups {
+  immediate, // there is nothing to serve from yet
+  spread,    // at random within DnsSettings::startSpread: there is something to serve from
+};
+
 class DnsDiscovery {
 public:
-  // `naming` and `sources` must live as long.
-  DnsDiscovery(net::Scheduler &sched, net::DescriptorBudget &budget, endpoint_merge::EndpointMerge &sources,
-               const DnsSettings &naming, std::uint64_t seed, log::Log log, DnsMetrics &counters);
+  // `merge` and `settings` must outlive it; the names of `settings` are added to `merge`.
+  DnsDiscovery(net::Scheduler &sched, net::DescriptorBudget &budget, endpoint_merge::EndpointMerge &merge,
+               const DnsSettings &settings, std::uint64_t seed, log::Log log, DnsMetrics &metrics);
 
-  // Called whenever the merged set may have changed; asks the sources for it.
-  std::function<void()> changed;
-  net::Task<>
-  run(bool mayWait); // follows for as long as the program lives; mayWait: there is something to serve from
-  void serversMoved(std::vector<net::Address> servers);
+  // Called whenever the merged set may have changed; must have it merged anew.
+  std::function<void()> onChange;
+  // Runs for as long as the program does.
+  net::Task<> run(FirstLookups first);
+  // Queries these DNS servers from now on; an empty list leaves those in use.
+  void setServers(std::vector<net::Address> servers);
 
-  // Keeps the state in this file from now on, as `kind`; takes up what stands there. False: nothing was taken
-  // up.
-  bool keepIn(const std::string &path, storage::Kind kind, sched::Nanoseconds unixAtZero);
-  void saveNow(); // at the program's end
+  // Saves the state in this file from now on, and restores what it holds. `unixAtZero`: Unix time, in ns, at
+  // which the clock read 0. False: nothing was restored; the reason is logged.
+  bool openStateFile(const std::string &path, storage::Kind identity, sched::Nanoseconds unixAtZero);
+  void saveAtExit();
 
-  // For whoever asks once: whether every set and address has had an answer, or has failed once.
-  bool settled() const;
-  const dns_resolution::RefreshSchedule &agenda() const { return agenda_; }
-  const std::string &lastFailure(std::size_t set) const { return lastFailure_[set]; }
+  // Whether each name and address has been looked up at least once, successfully or not.
+  bool hasSettled() const;
+  const dns_resolution::RefreshSchedule &schedule() const { return schedule_; }
+  // Why the latest look-up of an SRV name gave no targets, in words; "": it gave some, or none has finished.
+  const std::string &lastFailure(std::size_t set) const { return lastFailures_[set]; }
 
 private:
   struct Server {
-    net::Address at;
-    std::shared_ptr<TcpLine> line;
+    net::Address address;
+    std::shared_ptr<TcpQueryClient> tcpClient;
   };
-  net::Task<> flight(dns::Question question);
-  net::Task<Asked> ask(const dns_resolution::Ask &ask);
-  void settle(const dns::Question &question, const dns_resolution::Answer &answer);
-  void settleSet(std::size_t set, const dns::Question &question, const dns_resolution::Answer &answer);
-  void settleHost(const dns::Question &question, const dns_resolution::Answer &answer);
-  void wantHosts();
-  void takeAdditional(const dns_resolution::Answer &answer);
-  bool gathering();
+  using Servers = std::vector<std::unique_ptr<Server>>;
+
+  net::Task<> lookUp(dns::Question question);
+  net::Task<QueryResult> send(const dns_resolution::Query &query);
+  void onOutcome(const dns::Question &question, const dns_resolution::LookupOutcome &outcome);
+  void onSrvOutcome(std::size_t set, const dns::Question &question,
+                    const dns_resolution::LookupOutcome &outcome);
+  void onHostOutcome(const dns::Question &question, const dns_resolution::LookupOutcome &outcome);
+  void onTxtOutcome(const std::string &host, const dns_resolution::LookupOutcome &outcome);
+  void useAdditionalAddresses(const dns_resolution::LookupOutcome &outcome);
+  void scheduleHosts();
+  bool isGathering();
   void publish();
-  void tellMode(const endpoint_merge::MergeStatistics &now);
-  void keep();
-  sched::Nanoseconds keepAt(bool whole) const;
-  std::string sealed() const;
+  void logCondition(const endpoint_merge::MergeStatistics &statistics);
+  void saveIfDue();
+  std::string encodedState() const;
 
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
-  endpoint_merge::EndpointMerge &sources_;
-  const DnsSettings &naming_;
+  endpoint_merge::EndpointMerge &merge_;
+  const DnsSettings &settings_;
   log::Log log_;
-  DnsMetrics &counters_;
-  std::knuth_b chance_;
-  dns_resolution::RefreshSchedule agenda_;
-  std::shared_ptr<std::vector<std::unique_ptr<Server>>> servers_; // a flight keeps those that it began with
-  std::shared_ptr<dns_resolution::NameServers> health_;
-  std::vector<dns::Question> sets_; // by the sources' numbers
-  std::vector<std::string> lastFailure_;
-  std::vector<bool> heard_; // by set: answered or failed once
-  std::map<std::string, bool> hosts_;
-  sched::Event touched_;
-  bool changed_ = false, gathered_ = false;
-  sched::Nanoseconds gatherUntil_ = 0; // of the first answer; 0: none yet
+  DnsMetrics &metrics_;
+  std::knuth_b random_;
+  dns_resolution::RefreshSchedule schedule_;
+  std::shared_ptr<Servers> servers_; // a look-up in flight keeps those that it began with
+  std::shared_ptr<dns_resolution::DnsServers> serverStates_;
+  std::vector<dns::Question> sets_;       // by the merge's index
+  std::vector<std::string> lastFailures_; // by set
+  std::vector<bool> hasOutcome_;          // by set
+  std::map<std::string, bool> hosts_;     // scheduled; whether with their TXT records
+  sched::Event lookupFinished_;
+  bool needsPublishing_ = false;
+  bool hasGathered_ = false;
+  sched::Nanoseconds gatherUntil_ = 0; // set by the first outcome; 0: none yet
   sched::Nanoseconds publishedAt_ = 0;
-  endpoint_merge::MergeStatistics mode_;
-  bool moded_ = false;
+  endpoint_merge::MergeStatistics loggedStatistics_;
+  bool hasLoggedCondition_ = false;
 
-  std::unique_ptr<storage::Writer> writer_;
-  std::string path_;
-  storage::Kind kind_;
-  sched::Nanoseconds unixAtZero_ = 0, keptAt_ = 0;
-  bool unkept_ = false; // something good was told since the state was last kept
+  std::unique_ptr<storage::Writer> stateWriter_;
+  std::string statePath_;
+  storage::Kind stateIdentity_;
+  sched::Nanoseconds unixAtZero_ = 0;
+  sched::Nanoseconds savedAt_ = 0;
+  bool hasUnsavedState_ = false; // there was a successful outcome since the state was last saved
 };
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/metrics.cpp
+++ b/src/control/dns/metrics.cpp
@@ -15,10 +15,10 @@
                     .Name("myrtlehead_names_queries_total")
                     .Help("Queries sent to servers of names")
                     .Register(r)),
-        mishaps(BuildCounter()
-                    .Name("myrtlehead_names_mishaps_total")
-                    .Help("Queries without a usable answer")
-                    .Register(r)),
+        queryErrors(BuildCounter()
+                        .Name("myrtlehead_names_mishaps_total")
+                        .Help("Queries without a usable answer")
+                        .Register(r)),
         lookups(BuildCounter()
                     .Name("myrtlehead_names_lookups_total")
                     .Help("Look-ups by what they came to")
@@ -37,45 +37,51 @@
                       .Help("Time since the end of the oldest lifetime that is served on")
                       .Register(r)
                       .Add({})) {}
-  prometheus::Family<prometheus::Counter> &queries, &mishaps, &lookups;
+  prometheus::Family<prometheus::Counter> &queries, &queryErrors, &lookups;
   prometheus::Family<prometheus::Gauge> &servers, &disagreements, &conditions;
   prometheus::Gauge &staleness;
 };
 
-DnsMetrics::DnsMetrics(prometheus::Registry &registry) : f_(std::make_unique<Families>(registry)) {}
+DnsMetrics::DnsMetrics(prometheus::Registry &registry) : families_(std::make_unique<Families>(registry)) {}
 DnsMetrics::~DnsMetrics() = default;
 
-void DnsMetrics::query(bool tcp) { f_->queries.Add({{"transport", tcp ? "tcp" : "udp"}}).Increment(); }
+void DnsMetrics::onQuery(dns_resolution::Transport transport) {
+  const bool isTcp = transport == dns_resolution::Transport::tcp;
+  families_->queries.Add({{"transport", isTcp ? "tcp" : "udp"}}).Increment();
+}
 
-void DnsMetrics::mishap(dns_resolution::Mishap what) {
-  constexpr const char *kWords[] = {"timed_out", "unreachable", "unreadable", "broken"};
-  f_->mishaps.Add({{"kind", kWords[static_cast<int>(what)]}}).Increment();
+void DnsMetrics::onQueryError(dns_resolution::QueryError error) {
+  constexpr const char *kLabels[] = {"timed_out", "unreachable", "unreadable", "broken"};
+  families_->queryErrors.Add({{"kind", kLabels[static_cast<int>(error)]}}).Increment();
 }
 
-void DnsMetrics::lookup(dns_resolution::Said said) { f_->lookups.Add({{"result", word(said)}}).Increment(); }
+void DnsMetrics::onLookupFinished(dns_resolution::LookupResult result) {
+  constexpr const char *kLabels[] = {"records", "denied", "empty", "failed"};
+  families_->lookups.Add({{"result", kLabels[static_cast<int>(result)]}}).Increment();
+}
 
-void DnsMetrics::staleness(double seconds) { f_->staleness.Set(seconds); }
+void DnsMetrics::setStaleness(double seconds) { families_->staleness.Set(seconds); }
 
-void DnsMetrics::set(const endpoint_merge::MergeStatistics &f) {
+void DnsMetrics::setMergeStatistics(const endpoint_merge::MergeStatistics &s) {
   const auto put = [](auto &family, const char *label, const char *value, auto figure) {
     family.Add({{label, value}}).Set(static_cast<double>(figure));
   };
-  put(f_->servers, "by", "set", f.endpoints);
-  put(f_->servers, "by", "list", f.listed);
-  put(f_->servers, "by", "names", f.inDns);
-  put(f_->servers, "by", "unresolved", f.unresolvedTargets);
-  put(f_->servers, "by", "unknown_build", f.unknownBuilds);
-  put(f_->disagreements, "kind", "drained_but_named", f.drainingButInDns);
-  put(f_->disagreements, "kind", "listed_not_named", f.listedNotInDns);
-  put(f_->disagreements, "kind", "two_names", f.addressesWithTwoNames);
-  put(f_->disagreements, "kind", "builds_differ", f.buildMismatches);
-  put(f_->conditions, "kind", "damped", f.suppressedTargets);
-  put(f_->conditions, "kind", "held", f.retainedTargets);
-  put(f_->conditions, "kind", "stale_sets", f.staleSets);
-  put(f_->conditions, "kind", "expired_sets", f.expiredSets);
-  put(f_->conditions, "kind", "denied_sets", f.emptySets);
-  put(f_->conditions, "kind", "last_resort", f.isLastResort);
-  put(f_->conditions, "kind", "list_down", f.isListDown);
+  put(families_->servers, "by", "set", s.endpoints);
+  put(families_->servers, "by", "list", s.listed);
+  put(families_->servers, "by", "names", s.inDns);
+  put(families_->servers, "by", "unresolved", s.unresolvedTargets);
+  put(families_->servers, "by", "unknown_build", s.unknownBuilds);
+  put(families_->disagreements, "kind", "drained_but_named", s.drainingButInDns);
+  put(families_->disagreements, "kind", "listed_not_named", s.listedNotInDns);
+  put(families_->disagreements, "kind", "two_names", s.addressesWithTwoNames);
+  put(families_->disagreements, "kind", "builds_differ", s.buildMismatches);
+  put(families_->conditions, "kind", "damped", s.suppressedTargets);
+  put(families_->conditions, "kind", "held", s.retainedTargets);
+  put(families_->conditions, "kind", "stale_sets", s.staleSets);
+  put(families_->conditions, "kind", "expired_sets", s.expiredSets);
+  put(families_->conditions, "kind", "denied_sets", s.emptySets);
+  put(families_->conditions, "kind", "last_resort", s.isLastResort);
+  put(families_->conditions, "kind", "list_down", s.isListDown);
 }
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/metrics.h
+++ b/src/control/dns/metrics.h
@@ -1,4 +1,4 @@
-// What look-ups and the merged set came to, as metrics (prometheus-cpp).
+// Metrics of DNS look-ups and of the merged set of endpoints (prometheus-cpp).
 #pragma once
 
 #include "policy/dns_lookup.h"
@@ -17,15 +17,15 @@
 public:
   explicit DnsMetrics(prometheus::Registry &registry);
   ~DnsMetrics();
-  void query(bool tcp);
-  void mishap(dns_resolution::Mishap what);
-  void lookup(dns_resolution::Said said);
-  void set(const endpoint_merge::MergeStatistics &figures);
-  void staleness(double seconds); // of the oldest answer served past its lifetime; 0: none is
+  void onQuery(dns_resolution::Transport transport);
+  void onQueryError(dns_resolution::QueryError error);
+  void onLookupFinished(dns_resolution::LookupResult result);
+  void setMergeStatistics(const endpoint_merge::MergeStatistics &statistics);
+  void setStaleness(double seconds); // of the oldest answer served past its TTL; 0: there is none
 
 private:
   struct Families;
-  std::unique_ptr<Families> f_;
+  std::unique_ptr<Families> families_;
 };
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/query_client.cpp
+++ b/src/control/dns/query_client.cpp
@@ -2,133 +2,145 @@
 
 namespace myrtlehead::dns_discovery {
 
-using dns_resolution::Mishap;
+using dns_resolution::LetterCase;
+using dns_resolution::QueryError;
 using net::ErrorCode;
 
 namespace {
+
 using sched::Nanoseconds;
-constexpr Nanoseconds kIdle = 5'000'000'000; // a connection without a query
+
+constexpr Nanoseconds kIdleTimeout = 5'000'000'000; // of a connection without a query
+
+std::uint16_t u16At(std::string_view bytes, std::size_t at) {
+  return static_cast<std::uint16_t>(static_cast<unsigned char>(bytes[at]) << 8 |
+                                    static_cast<unsigned char>(bytes[at + 1]));
+}
+
+// Takes over what a message was read as. Precondition: it is a response to the query.
+void setResponse(QueryResult &result, dns::Reading reading) {
+  result.hasResponse = reading != dns::Reading::unreadable;
+  result.letterCase = reading == dns::Reading::folded ? LetterCase::changed : LetterCase::preserved;
+  result.error = QueryError::malformed;
+}
+
 } // namespace
 
-net::Task<Asked> askOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
-                            const dns::Sent &sent, net::Deadline until) {
-  Asked out;
+net::Task<QueryResult> queryOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
+                                    const dns::Sent &sent, net::Deadline deadline) {
+  QueryResult result;
   const auto socket = net::datagramsTo(sched, budget, server);
   if (socket == nullptr || !socket->writeNow(dns::writeQuery(sent))) {
-    out.mishap = Mishap::unreachable;
-    co_return out;
+    result.error = QueryError::unreachable;
+    co_return result;
   }
   net::Buffer buffer;
   for (;;) {
-    const auto cause = co_await socket->read(buffer, until);
-    if (cause == ErrorCode::closedByPeer) continue; // an empty datagram
-    if (cause != ErrorCode::none) {
-      out.mishap = cause == ErrorCode::timedOut ? Mishap::timedOut : Mishap::unreachable;
-      co_return out;
+    const auto readError = co_await socket->read(buffer, deadline);
+    if (readError == ErrorCode::closedByPeer) continue; // an empty datagram
+    if (readError != ErrorCode::none) {
+      const bool isTimeout = readError == ErrorCode::timedOut;
+      result.error = isTimeout ? QueryError::timedOut : QueryError::unreachable;
+      co_return result;
     }
-    const auto reading = dns::readAnswer(buffer.view(), sent, out.message);
+    const auto reading = dns::readAnswer(buffer.view(), sent, result.message);
     buffer.consume(buffer.view().size());
-    if (reading == dns::Reading::foreign) continue; // made up by another, or for an earlier query
-    out.mishap = Mishap::unreadable;
-    out.answered = reading != dns::Reading::unreadable;
-    out.folded = reading == dns::Reading::folded;
-    co_return out;
+    if (reading == dns::Reading::foreign) continue; // forged, or the response to an earlier query
+    setResponse(result, reading);
+    co_return result;
   }
 }
 
-net::Task<std::shared_ptr<TcpLine::Connection>> TcpLine::connection(net::Deadline until) {
-  while (opening_) {
-    const auto woken = co_await sched_.wait(openedOrNot_, until);
-    if (woken != sched::WakeReason::notified) co_return nullptr;
+net::Task<std::shared_ptr<TcpQueryClient::Connection>> TcpQueryClient::connect(net::Deadline deadline) {
+  while (isConnecting_) {
+    const auto wakeReason = co_await sched_.wait(connectFinished_, deadline);
+    if (wakeReason != sched::WakeReason::notified) co_return nullptr;
   }
-  if (open_ != nullptr) co_return open_;
-  opening_ = true;
-  auto connected = co_await net::connect(sched_, budget_, server_, until);
-  opening_ = false;
+  if (connection_ != nullptr) co_return connection_;
+  isConnecting_ = true;
+  auto connected = co_await net::connect(sched_, budget_, server_, deadline);
+  isConnecting_ = false;
   if (connected) {
-    ++opened_;
-    open_ = std::make_shared<Connection>();
-    open_->socket = std::move(*connected);
-    sched_.spawn(read(shared_from_this(), open_));
+    ++connectionsOpened_;
+    connection_ = std::make_shared<Connection>();
+    connection_->socket = std::move(*connected);
+    sched_.spawn(read(shared_from_this(), connection_));
   }
-  openedOrNot_.notify();
-  co_return open_;
+  connectFinished_.notify();
+  co_return connection_;
 }
 
-net::Task<Asked> TcpLine::ask(dns::Sent sent, net::Deadline until) {
-  Pending pending;
-  pending.asked.mishap = Mishap::unreachable;
-  const auto c = co_await connection(until);
-  if (c == nullptr) co_return pending.asked;
-  while (c->pending.contains(sent.id)) ++sent.id; // at most as many as flights
+net::Task<QueryResult> TcpQueryClient::query(dns::Sent sent, net::Deadline deadline) {
+  PendingQuery pending;
+  pending.result.error = QueryError::unreachable;
+  const auto connection = co_await connect(deadline);
+  if (connection == nullptr) co_return pending.result;
+  while (connection->pending.contains(sent.id)) ++sent.id; // at most as often as there are look-ups in flight
   pending.sent = sent;
-  auto query = dns::writeQuery(sent);
-  const auto size = query.size();
-  query.insert(query.begin(), {static_cast<char>(size >> 8), static_cast<char>(size & 0xff)});
-  c->pending[sent.id] = &pending;
+  auto message = dns::writeQuery(sent);
+  const auto size = message.size();
+  message.insert(message.begin(), {static_cast<char>(size >> 8), static_cast<char>(size & 0xff)});
+  connection->pending[sent.id] = &pending;
   // Written at once or not at all: half a query would spoil those behind it.
-  if (!c->socket->writeNow(query)) close(*c, Mishap::broken);
-  if (!pending.over) {
-    const auto woken = co_await sched_.wait(pending.done, until);
-    if (woken != sched::WakeReason::notified) {
-      c->pending.erase(sent.id);
-      pending.asked.mishap = Mishap::timedOut;
-      // Guards against one that hangs: the next query takes a new connection.
-      if (open_ == c) open_ = nullptr;
-      if (c->pending.empty()) c->closed.cancel();
+  if (!connection->socket->writeNow(message)) close(*connection, QueryError::connectionLost);
+  if (!pending.isDone) {
+    const auto wakeReason = co_await sched_.wait(pending.done, deadline);
+    if (wakeReason != sched::WakeReason::notified) {
+      connection->pending.erase(sent.id);
+      pending.result.error = QueryError::timedOut;
+      // Guards against a connection that hangs: the next query opens a new one.
+      if (connection_ == connection) connection_ = nullptr;
+      if (connection->pending.empty()) connection->closed.cancel();
     }
   }
-  co_return pending.asked;
+  co_return pending.result;
 }
 
-void TcpLine::close(Connection &c, Mishap why) {
-  c.closed.cancel();
-  if (open_.get() == &c) open_ = nullptr;
-  for (auto &[id, pending] : c.pending) {
-    pending->over = true;
-    pending->asked.mishap = why;
+void TcpQueryClient::close(Connection &connection, QueryError error) {
+  connection.closed.cancel();
+  if (connection_.get() == &connection) connection_ = nullptr;
+  for (auto &[id, pending] : connection.pending) {
+    pending->isDone = true;
+    pending->result.error = error;
     pending->done.notify();
   }
-  c.pending.clear();
+  connection.pending.clear();
 }
 
-// One message from the front of the buffer; false: there is none whole, or the connection is of no more use.
-bool TcpLine::take(Connection &c) {
-  const auto view = c.buffer.view();
+// Reads one message from the front of the buffer. False: the buffer holds no complete one.
+bool TcpQueryClient::readMessage(Connection &connection) {
+  const auto view = connection.buffer.view();
   if (view.size() < 2) return false;
-  const std::size_t size = static_cast<unsigned char>(view[0]) << 8 | static_cast<unsigned char>(view[1]);
+  const std::size_t size = u16At(view, 0);
   if (view.size() < size + 2) return false;
   const auto bytes = view.substr(2, size);
-  const auto id = size >= 2 ? static_cast<std::uint16_t>(static_cast<unsigned char>(bytes[0]) << 8 |
-                                                         static_cast<unsigned char>(bytes[1]))
-                            : std::uint16_t{0};
-  const auto it = c.pending.find(id);
-  if (it != c.pending.end()) {
-    auto &p = *it->second;
-    const auto reading = dns::readAnswer(bytes, p.sent, p.asked.message);
+  const auto id = size >= 2 ? u16At(bytes, 0) : std::uint16_t{0};
+  const auto it = connection.pending.find(id);
+  if (it != connection.pending.end()) {
+    auto &pending = *it->second;
+    const auto reading = dns::readAnswer(bytes, pending.sent, pending.result.message);
     if (reading != dns::Reading::foreign) {
-      p.asked.answered = reading != dns::Reading::unreadable;
-      p.asked.folded = reading == dns::Reading::folded;
-      p.asked.mishap = Mishap::unreadable;
-      p.over = true;
-      p.done.notify();
-      c.pending.erase(it);
+      setResponse(pending.result, reading);
+      pending.isDone = true;
+      pending.done.notify();
+      connection.pending.erase(it);
     }
   }
-  c.buffer.consume(size + 2);
+  connection.buffer.consume(size + 2);
   return true;
 }
 
-// Holds the line: it may be given up before its connection has ended.
-net::Task<> TcpLine::read(std::shared_ptr<TcpLine> line, std::shared_ptr<Connection> c) {
+// Shares the client's ownership: the client may be given up before its connection has ended.
+net::Task<> TcpQueryClient::read(std::shared_ptr<TcpQueryClient> client,
+                                 std::shared_ptr<Connection> connection) {
   for (;;) {
-    while (line->take(*c)) {}
-    const Nanoseconds idleEnd = line->sched_.now() + kIdle;
-    const net::Deadline until{idleEnd, &c->closed};
-    const auto cause = co_await c->socket->read(c->buffer, until);
-    if (cause == ErrorCode::none) continue;
-    if (cause == ErrorCode::timedOut && !c->pending.empty()) continue;
-    line->close(*c, Mishap::broken);
+    while (client->readMessage(*connection)) {}
+    const Nanoseconds idleEnd = client->sched_.now() + kIdleTimeout;
+    const net::Deadline deadline{idleEnd, &connection->closed};
+    const auto error = co_await connection->socket->read(connection->buffer, deadline);
+    if (error == ErrorCode::none) continue;
+    if (error == ErrorCode::timedOut && !connection->pending.empty()) continue;
+    client->close(*connection, QueryError::connectionLost);
     co_return;
   }
 }
--- a/src/control/dns/settings.h
+++ b/src/control/dns/settings.h
@@ -1,4 +1,4 @@
-// What an installation says about its name records; plain values, decoded once.
+// Settings of DNS discovery; plain values, decoded once.
 #pragma once
 
 #include "base/net/socket.h"
@@ -10,22 +10,22 @@
 
 namespace myrtlehead::dns_discovery {
 
-// One SRV name. Servers that it gives and that tell no build of their own have its `release`.
-struct NamedSet {
+// One SRV name that is followed. Its release and zone hold for endpoints that have none of their own.
+struct SrvNameSettings {
   std::string name; // "_pg._tcp.maps.example"
-  int release = -1; // -1: not told
-  int zone = -1;    // -1: not told
-  bool operator==(const NamedSet &) const = default;
+  int release = -1; // -1: unknown
+  int zone = -1;    // -1: unknown
+  bool operator==(const SrvNameSettings &) const = default;
 };
 
 struct DnsSettings {
-  std::vector<net::Address> servers; // of names; empty: no look-ups
-  std::vector<NamedSet> sets;
+  std::vector<net::Address> servers; // DNS servers; empty: no look-ups
+  std::vector<SrvNameSettings> sets;
   dns_resolution::ResolutionSettings resolution;
   endpoint_merge::MergeSettings merge;
-  sched::Nanoseconds startSpread =
-      2'000'000'000; // ns; the first look-ups of a life fall within, if there is something to serve from
-  int subset = 0;    // servers held by an instance, about; 0: all
+  // Nanoseconds. The first look-ups fall within this time, if there is something to serve from meanwhile.
+  sched::Nanoseconds startSpread = 2'000'000'000;
+  int subset = 0; // endpoints that one instance uses, about; 0: all
 };
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/snapshot.h
+++ b/src/control/dns/snapshot.h
@@ -1,4 +1,5 @@
-// The snapshot of the sources as text, for the store: times as Unix milliseconds.
+// The snapshot of the endpoint merge as text (JSON), as the state file holds it. Times in it are Unix
+// milliseconds; 0 stands for "long ago" or "never".
 #pragma once
 
 #include "policy/endpoint_merge.h"
@@ -10,10 +11,14 @@
 
 constexpr int kSnapshotFormat = 1;
 
-// `unixAtZero`: the Unix time, in ns, at which the instance's clock read nought.
+// `unixAtZero`: Unix time, in ns, at which the instance's clock read 0. `now`: by the instance's clock.
 std::string encodeSnapshot(const endpoint_merge::Snapshot &snapshot, Nanoseconds unixAtZero, Nanoseconds now);
-// nullopt: not such a text, or out of bounds. `savedAt`: when it was written, by the instance's clock.
-std::optional<endpoint_merge::Snapshot> decodeSnapshot(const std::string &text, Nanoseconds unixAtZero,
-                                                       Nanoseconds &savedAt);
+
+struct DecodedSnapshot {
+  endpoint_merge::Snapshot snapshot;
+  Nanoseconds savedAt = 0; // by the instance's clock
+};
+// nullopt: not such a text, or a value out of bounds.
+std::optional<DecodedSnapshot> decodeSnapshot(const std::string &text, Nanoseconds unixAtZero);
 
 } // namespace myrtlehead::dns_discovery
--- a/src/policy/address_memory.cpp
+++ b/src/policy/address_memory.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Guards against addresses that are ever new: of more than `maxSize` entries those with the latest times stay.
+// Guards against addresses that are ever new: of more than `maxSize` entries those with the latest times
+// stay.
 template <class Map, class TimeOf> void keepLatest(Map &map, std::size_t maxSize, TimeOf timeOf) {
   if (map.size() <= maxSize) return;
   std::vector<Nanoseconds> times;
--- a/src/policy/address_memory.h
+++ b/src/policy/address_memory.h
@@ -9,8 +9,8 @@
 
 namespace myrtlehead::endpoint_merge {
 
-// Addresses that the endpoint list has removed or drains, with the time of the latest mention by the list or by
-// DNS records. DNS records that still have them don't bring them back.
+// Addresses that the endpoint list has removed or drains, with the time of the latest mention by the list or
+// by DNS records. DNS records that still have them don't bring them back.
 class DepartedAddresses {
 public:
   void add(const std::string &address, Nanoseconds now) { lastMentions_[address] = now; }
--- a/src/policy/dns_lookup.cpp
+++ b/src/policy/dns_lookup.cpp
@@ -7,146 +7,166 @@
 namespace {
 
 constexpr Nanoseconds kSecond = 1'000'000'000;
-constexpr int kFailuresToRest = 2;
-constexpr Nanoseconds kRest = kSecond, kMostRest = 60 * kSecond;
-constexpr Nanoseconds kTcpWait = 2 * kSecond; // at least, for a connection and an answer
-
-// "_pg._tcp.maps.example" stands in "maps.example": what its server may speak of beside it.
+constexpr int kFailuresToBackOff = 2; // in a row
+constexpr Nanoseconds kFirstBackoff = kSecond;
+constexpr Nanoseconds kMaxBackoff = 60 * kSecond;
+constexpr int kMaxBackoffDoublings = 10;
+constexpr int kMaxTimeoutDoublings = 3;
+constexpr Nanoseconds kMinTcpTimeout = 2 * kSecond; // for the connection and the response
+
+// "_pg._tcp.maps.example" lies in "maps.example", the zone whose server may give records beside it.
 std::string_view zoneOf(std::string_view name) {
   while (name.starts_with('_')) name.remove_prefix(std::min(name.find('.'), name.size() - 1) + 1);
   return name;
 }
 
-bool inside(std::string_view name, std::string_view zone) {
+bool isInZone(std::string_view name, std::string_view zone) {
   if (zone.empty() || !name.ends_with(zone)) return false;
   return name.size() == zone.size() || name[name.size() - zone.size() - 1] == '.';
 }
 
-} // namespace
-
-const char *word(Said said) {
-  constexpr const char *kWords[] = {"records", "denied", "empty", "failed"};
-  return kWords[static_cast<int>(said)];
+Nanoseconds shorterTtl(Nanoseconds a, Nanoseconds b) {
+  if (a == kNoTtl) return b;
+  if (b == kNoTtl) return a;
+  return std::min(a, b);
 }
 
-std::size_t NameServers::pick(const std::vector<int> &tried, Nanoseconds now, std::knuth_b &chance) const {
-  const int least = *std::min_element(tried.begin(), tried.end());
-  std::vector<std::size_t> awake, all;
+} // namespace
+
+std::size_t DnsServers::select(const std::vector<int> &attempts, Nanoseconds now,
+                               std::knuth_b &random) const {
+  const int fewest = *std::min_element(attempts.begin(), attempts.end());
+  std::vector<std::size_t> candidates;
+  std::vector<std::size_t> available;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    if (tried[i] == least) all.push_back(i);
-    if (tried[i] == least && !resting(i, now)) awake.push_back(i);
+    if (attempts[i] != fewest) continue;
+    candidates.push_back(i);
+    if (!isBackingOff(i, now)) available.push_back(i);
   }
-  if (!awake.empty()) return awake[std::uniform_int_distribution<std::size_t>(0, awake.size() - 1)(chance)];
-  return *std::min_element(all.begin(), all.end(),
-                           [&](auto a, auto b) { return servers_[a].restUntil < servers_[b].restUntil; });
+  if (!available.empty())
+    return available[std::uniform_int_distribution<std::size_t>(0, available.size() - 1)(random)];
+  return *std::min_element(candidates.begin(), candidates.end(), [&](auto a, auto b) {
+    return servers_[a].backoffUntil < servers_[b].backoffUntil;
+  });
 }
 
-void NameServers::failed(std::size_t server, Nanoseconds now) {
-  auto &s = servers_[server];
-  if (++s.failures < kFailuresToRest) return;
-  s.restUntil = now + std::min(kRest << std::min(s.failures - kFailuresToRest, 10), kMostRest);
+void DnsServers::onFailure(std::size_t index, Nanoseconds now) {
+  auto &server = servers_[index];
+  if (++server.failures < kFailuresToBackOff) return;
+  const int doublings = std::min(server.failures - kFailuresToBackOff, kMaxBackoffDoublings);
+  server.backoffUntil = now + std::min(kFirstBackoff << doublings, kMaxBackoff);
 }
 
-Ask Lookup::next(Nanoseconds now, std::knuth_b &chance) {
-  const bool again = std::exchange(toTcp_, false);
-  if (!again) {
-    ask_.server = servers_.pick(tried_, now, chance);
-    ask_.tcp = false;
-    ++tried_[ask_.server];
-    ++tries_;
+Query Lookup::nextQuery(Nanoseconds now, std::knuth_b &random) {
+  if (std::exchange(retriesOverTcp_, false)) {
+    query_.transport = Transport::tcp;
   } else {
-    ask_.tcp = true;
+    query_.server = servers_.select(attemptsByServer_, now, random);
+    query_.transport = Transport::udp;
+    ++attemptsByServer_[query_.server];
+    ++attempts_;
   }
   std::uniform_int_distribution<std::uint64_t> any;
-  ask_.sent = {static_cast<std::uint16_t>(any(chance)), now_, any(chance)};
-  ask_.within = terms_.firstWait << std::min(std::max(tries_ - 1, 0), 3);
-  if (ask_.tcp) ask_.within = std::max(ask_.within, kTcpWait);
-  return ask_;
+  query_.sent = {static_cast<std::uint16_t>(any(random)), current_, any(random)};
+  query_.timeout = settings_.firstTimeout << std::min(std::max(attempts_ - 1, 0), kMaxTimeoutDoublings);
+  if (query_.transport == Transport::tcp) query_.timeout = std::max(query_.timeout, kMinTcpTimeout);
+  return query_;
 }
 
-// Guards against answers made up by others: what does not keep the letter case is asked for over TCP, where
-// nobody but the server can answer.
-void Lookup::answered(const dns::Message &message, bool folded, Nanoseconds now) {
-  if (message.truncated || (folded && !ask_.tcp)) {
-    if (ask_.tcp && ++truncations_ >= kMostTruncations) return failed("truncated over TCP", now);
-    toTcp_ = true;
+// Guards against forged responses: one that changes the letter case is asked for again over TCP, where nobody
+// but the server can respond.
+void Lookup::onResponse(const dns::Message &message, LetterCase letterCase, Nanoseconds now) {
+  const bool isTcp = query_.transport == Transport::tcp;
+  const bool mayBeForged = letterCase == LetterCase::changed && !isTcp;
+  if (message.truncated || mayBeForged) {
+    if (isTcp && ++tcpTruncations_ >= kMaxTcpTruncations) return fail("truncated over TCP", now);
+    retriesOverTcp_ = true;
     return;
   }
   switch (message.status) {
   case dns::Status::ok:
   case dns::Status::noSuchName:
-    servers_.answered(ask_.server);
-    return believe(message);
+    servers_.onSuccess(query_.server);
+    return acceptAnswer(message);
   case dns::Status::failed:
-    return failed("SERVFAIL", now);
+    return fail("SERVFAIL", now);
   case dns::Status::refused:
-    return failed("REFUSED", now);
+    return fail("REFUSED", now);
   case dns::Status::other:
-    return failed("an error of the server", now);
+    return fail("an error of the server", now);
   }
 }
 
-void Lookup::mishap(Mishap what, Nanoseconds now) {
-  constexpr const char *kWords[] = {"timed out", "unreachable", "unreadable", "broken off"};
-  failed(std::string(kWords[static_cast<int>(what)]) + (ask_.tcp ? " over TCP" : ""), now);
+void Lookup::onError(QueryError error, Nanoseconds now) {
+  constexpr const char *kTexts[] = {"timed out", "unreachable", "unreadable", "broken off"};
+  const auto text = std::string(kTexts[static_cast<int>(error)]);
+  fail(text + (query_.transport == Transport::tcp ? " over TCP" : ""), now);
+}
+
+void Lookup::fail(std::string failure, Nanoseconds now) {
+  servers_.onFailure(query_.server, now);
+  outcome_.failure = std::move(failure);
+  if (attempts_ >= settings_.maxAttempts) finish(LookupResult::failed, kNoTtl);
 }
 
-void Lookup::failed(std::string why, Nanoseconds now) {
-  servers_.failed(ask_.server, now);
-  answer_.why = std::move(why);
-  if (tries_ >= terms_.tries) end(Said::failed, -1);
+void Lookup::finish(LookupResult result, Nanoseconds ttl) {
+  isFinished_ = true;
+  outcome_.result = result;
+  outcome_.ttl = shorterTtl(aliasTtl_, ttl);
 }
 
-void Lookup::end(Said said, Nanoseconds lifetime) {
-  over_ = true;
-  answer_.said = said;
-  answer_.lifetime = shortest_ < 0 ? lifetime : lifetime < 0 ? shortest_ : std::min(shortest_, lifetime);
+// Follows the aliases through the answer as far as they lead. False: too many of them.
+bool Lookup::followAliases(const dns::Message &message) {
+  if (question_.type == dns::Type::cname) return true;
+  const auto isNext = [&](const dns::Record &record) {
+    return record.type == dns::Type::cname && record.owner == current_.name;
+  };
+  const auto &answers = message.answers;
+  for (auto alias = std::find_if(answers.begin(), answers.end(), isNext); alias != answers.end();
+       alias = std::find_if(answers.begin(), answers.end(), isNext)) {
+    if (++aliases_ > kMaxAliases || alias->target.empty()) return false;
+    aliasTtl_ = shorterTtl(aliasTtl_, alias->ttl * kSecond);
+    current_.name = alias->target;
+  }
+  return true;
 }
 
-// Follows the aliases through the answer and takes the records at their end; everything else in the answer
-// was not asked for and is not believed.
-void Lookup::believe(const dns::Message &message) {
-  for (bool moved = true; moved;) {
-    moved = false;
-    for (const auto &r : message.answers) {
-      if (r.type != dns::Type::cname || r.owner != now_.name || asked_.type == dns::Type::cname) continue;
-      if (++aliases_ > kMostAliases || r.target.empty()) {
-        answer_.why = "too many aliases";
-        return end(Said::failed, -1);
-      }
-      const Nanoseconds ttl = r.ttl * kSecond;
-      shortest_ = shortest_ < 0 ? ttl : std::min(shortest_, ttl);
-      now_.name = r.target;
-      moved = true;
-      break;
-    }
+// Takes the records at the end of the aliases. Everything else in the answer section was not asked for and is
+// not trusted.
+void Lookup::acceptAnswer(const dns::Message &message) {
+  if (!followAliases(message)) {
+    outcome_.failure = "too many aliases";
+    return finish(LookupResult::failed, kNoTtl);
   }
-  Nanoseconds lifetime = -1;
-  for (const auto &r : message.answers) {
-    if (r.type != now_.type || r.owner != now_.name) continue;
-    lifetime = lifetime < 0 ? r.ttl * kSecond : std::min(lifetime, r.ttl * kSecond);
-    answer_.records.push_back(r);
+  Nanoseconds ttl = kNoTtl;
+  for (const auto &record : message.answers) {
+    if (record.type != current_.type || record.owner != current_.name) continue;
+    ttl = shorterTtl(ttl, record.ttl * kSecond);
+    outcome_.records.push_back(record);
   }
-  if (!answer_.records.empty()) {
+  if (!outcome_.records.empty()) {
     keepAdditional(message);
-    return end(Said::records, lifetime);
+    return finish(LookupResult::records, ttl);
   }
-  const Nanoseconds denial = message.denialSeconds ? *message.denialSeconds * kSecond : -1;
-  if (message.status == dns::Status::noSuchName) return end(Said::denied, denial);
-  const bool askOn = ask_.sent.question.name != now_.name; // the alias leads out of this answer
-  if (!askOn) return end(Said::empty, denial);
-  std::fill(tried_.begin(), tried_.end(), 0);
-  tries_ = 0;
+  const Nanoseconds negativeTtl = message.denialSeconds ? *message.denialSeconds * kSecond : kNoTtl;
+  if (message.status == dns::Status::noSuchName) return finish(LookupResult::nxDomain, negativeTtl);
+  const bool aliasLeadsOut = query_.sent.question.name != current_.name;
+  if (!aliasLeadsOut) return finish(LookupResult::noData, negativeTtl);
+  // The look-up goes on with the alias' name and all attempts.
+  std::fill(attemptsByServer_.begin(), attemptsByServer_.end(), 0);
+  attempts_ = 0;
 }
 
 void Lookup::keepAdditional(const dns::Message &message) {
-  if (now_.type != dns::Type::srv) return;
-  const auto zone = zoneOf(now_.name);
-  for (const auto &r : message.additional) {
-    if ((r.type != dns::Type::a && r.type != dns::Type::aaaa) || !inside(r.owner, zone)) continue;
-    const bool target = std::any_of(answer_.records.begin(), answer_.records.end(),
-                                    [&](const dns::Record &srv) { return srv.target == r.owner; });
-    if (target) answer_.additional.push_back(r);
+  if (current_.type != dns::Type::srv) return;
+  const auto zone = zoneOf(current_.name);
+  for (const auto &record : message.additional) {
+    const bool isAddress = record.type == dns::Type::a || record.type == dns::Type::aaaa;
+    if (!isAddress || !isInZone(record.owner, zone)) continue;
+    const auto &targets = outcome_.records;
+    if (std::any_of(targets.begin(), targets.end(),
+                    [&](const auto &srv) { return srv.target == record.owner; }))
+      outcome_.additional.push_back(record);
   }
 }
 
--- a/src/policy/dns_lookup.h
+++ b/src/policy/dns_lookup.h
@@ -1,5 +1,6 @@
-// One look-up, from the first query to what it came to: which server is asked, over UDP or TCP, when an
-// attempt is given up, which aliases are followed. No I/O: it is asked what to send and told what came.
+// One DNS look-up, from its first query to its result: which server is queried, over UDP or TCP, when an
+// attempt times out, which aliases are followed. No I/O: the caller sends the queries and reports what came
+// of them. Times are nanoseconds.
 #pragma once
 
 #include "format/dns/message.h"
@@ -11,82 +12,94 @@
 
 namespace myrtlehead::dns_resolution {
 
-constexpr int kMostAliases = 8;
-constexpr int kMostTruncations = 2; // over TCP, where none should be
+constexpr int kMaxAliases = 8;
+constexpr int kMaxTcpTruncations = 2; // of one look-up; over TCP there should be none
 
-// The servers of names: who answers, how fast, who rests.
-class NameServers {
+// The DNS servers of an instance, and the backoff of those that fail.
+class DnsServers {
 public:
-  explicit NameServers(std::size_t count) : servers_(count) {}
+  explicit DnsServers(std::size_t count) : servers_(count) {}
   std::size_t count() const { return servers_.size(); }
-  // By chance among those that do not rest and were not tried in this look-up; where all rest, the one whose
-  // rest ends first.
-  std::size_t pick(const std::vector<int> &tried, Nanoseconds now, std::knuth_b &chance) const;
-  void answered(std::size_t server) { servers_[server] = {}; }
-  void failed(std::size_t server, Nanoseconds now);
-  bool resting(std::size_t server, Nanoseconds now) const { return servers_[server].restUntil > now; }
+  // A random server among those with the fewest attempts in a look-up that are not backing off; if all of
+  // them are, the one whose backoff ends first. `attempts`: by server.
+  std::size_t select(const std::vector<int> &attempts, Nanoseconds now, std::knuth_b &random) const;
+  void onSuccess(std::size_t server) { servers_[server] = {}; }
+  void onFailure(std::size_t server, Nanoseconds now);
+  bool isBackingOff(std::size_t server, Nanoseconds now) const { return servers_[server].backoffUntil > now; }
 
 private:
   struct Server {
     int failures = 0; // in a row
-    Nanoseconds restUntil = 0;
+    Nanoseconds backoffUntil = 0;
   };
   std::vector<Server> servers_;
 };
 
-// The next query to be made.
-struct Ask {
+enum class Transport { udp, tcp };
+
+// The next query of a look-up.
+struct Query {
   std::size_t server = 0;
-  bool tcp = false;
+  Transport transport = Transport::udp;
   dns::Sent sent;
-  Nanoseconds within = 0; // give it up after
+  Nanoseconds timeout = 0;
 };
 
-// How a query ended without an answer.
-enum class Mishap { timedOut, unreachable, unreadable, broken };
+// Why a query got no usable response.
+enum class QueryError { timedOut, unreachable, malformed, connectionLost };
+
+// Whether a response repeats the random letter case of the query (0x20 encoding).
+enum class LetterCase { preserved, changed };
+
+// Result of a look-up: records, one of the two negative answers (RFC 2308), or a failure.
+enum class LookupResult { records, nxDomain, noData, failed };
 
-// What a look-up came to. Four different things, and each has its consequence.
-enum class Said { records, denied, empty, failed };
-const char *word(Said said);
+constexpr Nanoseconds kNoTtl = -1;
 
-struct Answer {
-  Said said = Said::failed;
-  std::vector<dns::Record> records = {};    // of the type asked for, at the end of the aliases
-  std::vector<dns::Record> additional = {}; // addresses of SRV targets that may be believed
-  Nanoseconds lifetime = 0;                 // as the server tells it, unbounded; -1: it tells none
-  std::string why = {};                     // failed: the last mishap, in a word or two
+struct LookupOutcome {
+  LookupResult result = LookupResult::failed;
+  std::vector<dns::Record> records = {};    // of the type in question, at the end of the aliases
+  std::vector<dns::Record> additional = {}; // addresses of SRV targets that may be trusted
+  Nanoseconds ttl = 0;                      // as the server gives it, unbounded; or kNoTtl
+  std::string failure = {};                 // the last error in words, where the look-up failed
 };
 
 class Lookup {
 public:
-  Lookup(dns::Question question, const ResolutionSettings &terms, NameServers &servers)
-      : asked_(question), now_(std::move(question)), terms_(terms), servers_(servers),
-        tried_(servers.count()) {}
-
-  bool over() const { return over_; }
-  // The query to make. Not to be called once it is over.
-  Ask next(Nanoseconds now, std::knuth_b &chance);
-  // What came of it. `folded`: the letter case was not kept.
-  void answered(const dns::Message &message, bool folded, Nanoseconds now);
-  void mishap(Mishap what, Nanoseconds now);
-  const Answer &answer() const { return answer_; }
-  const dns::Question &question() const { return asked_; }
+  // `settings` and `servers` must outlive the look-up.
+  Lookup(dns::Question question, const ResolutionSettings &settings, DnsServers &servers)
+      : question_(question), current_(std::move(question)), settings_(settings), servers_(servers),
+        attemptsByServer_(servers.count()) {}
+
+  bool isFinished() const { return isFinished_; }
+  // The query to send. Precondition: the look-up is not finished.
+  Query nextQuery(Nanoseconds now, std::knuth_b &random);
+  // What came of the latest query: a response, or an error.
+  void onResponse(const dns::Message &message, LetterCase letterCase, Nanoseconds now);
+  void onError(QueryError error, Nanoseconds now);
+  const LookupOutcome &outcome() const { return outcome_; } // valid once it is finished
+  const dns::Question &question() const { return question_; }
 
 private:
-  void failed(std::string why, Nanoseconds now);
-  void believe(const dns::Message &message);
-  void end(Said said, Nanoseconds lifetime);
+  void fail(std::string failure, Nanoseconds now);
+  void acceptAnswer(const dns::Message &message);
+  bool followAliases(const dns::Message &message);
+  void finish(LookupResult result, Nanoseconds ttl);
   void keepAdditional(const dns::Message &message);
-  dns::Question asked_, now_; // now_: at the end of the aliases so far
-  const ResolutionSettings &terms_;
-  NameServers &servers_;
-  std::vector<int> tried_; // by server
-  Ask ask_;
-  int tries_ = 0, aliases_ = 0, truncations_ = 0;
-  bool toTcp_ = false; // the same server again, over TCP
-  bool over_ = false;
-  Nanoseconds shortest_ = -1; // lifetime of the aliases passed
-  Answer answer_;
+
+  dns::Question question_;
+  dns::Question current_; // at the end of the aliases so far
+  const ResolutionSettings &settings_;
+  DnsServers &servers_;
+  std::vector<int> attemptsByServer_;
+  Query query_;
+  int attempts_ = 0;
+  int aliases_ = 0;
+  int tcpTruncations_ = 0;
+  bool retriesOverTcp_ = false; // the next query goes to the same server over TCP
+  bool isFinished_ = false;
+  Nanoseconds aliasTtl_ = kNoTtl; // the shortest of the aliases followed
+  LookupOutcome outcome_;
 };
 
 } // namespace myrtlehead::dns_resolution
--- a/src/policy/dns_refresh_schedule.cpp
+++ b/src/policy/dns_refresh_schedule.cpp
@@ -5,93 +5,103 @@
 namespace myrtlehead::dns_resolution {
 
 namespace {
-constexpr double kJitter = 0.25;
+
+constexpr double kRefreshJitter = 0.25; // of the delay, to both sides
+constexpr double kBackoffGrowth = 3.0;  // at most, from one failure to the next
+
 } // namespace
 
-Nanoseconds RefreshSchedule::bounded(Nanoseconds lifetime) const {
-  return std::clamp(lifetime, terms_.floor, terms_.ceiling);
+Nanoseconds RefreshSchedule::bounded(Nanoseconds ttl) const {
+  return std::clamp(ttl, settings_.minTtl, settings_.maxTtl);
 }
 
-void RefreshSchedule::plan(Items::iterator item, Nanoseconds at) {
-  due_.erase({item->second.due, item->first});
-  item->second.due = at;
-  if (!item->second.inFlight) due_.insert({at, item->first});
+void RefreshSchedule::schedule(Items::iterator item, Nanoseconds dueAt) {
+  due_.erase({item->second.dueAt, item->first});
+  item->second.dueAt = dueAt;
+  if (!item->second.isInFlight) due_.insert({dueAt, item->first});
 }
 
-void RefreshSchedule::want(const dns::Question &question, Nanoseconds spread, Nanoseconds now) {
-  const auto [item, first] = items_.try_emplace(question);
-  if (first) plan(item, now + static_cast<Nanoseconds>(uniform(0, 1) * static_cast<double>(spread)));
+void RefreshSchedule::add(const dns::Question &question, Nanoseconds spread, Nanoseconds now) {
+  const auto [item, isNew] = items_.try_emplace(question);
+  if (isNew) schedule(item, now + static_cast<Nanoseconds>(uniform(0, 1) * static_cast<double>(spread)));
 }
 
-void RefreshSchedule::forget(const dns::Question &question) {
+void RefreshSchedule::remove(const dns::Question &question) {
   const auto item = items_.find(question);
   if (item == items_.end()) return;
-  due_.erase({item->second.due, question});
-  if (item->second.inFlight) --open_;
+  due_.erase({item->second.dueAt, question});
+  if (item->second.isInFlight) --inFlight_;
   items_.erase(item);
 }
 
-void RefreshSchedule::hasten(const dns::Question &question, Nanoseconds in, Nanoseconds now) {
+void RefreshSchedule::refreshSoon(const dns::Question &question, Nanoseconds delay, Nanoseconds now) {
   const auto item = items_.find(question);
   if (item == items_.end()) return;
-  const auto at = now + static_cast<Nanoseconds>(uniform(1 - kJitter, 1 + kJitter) * static_cast<double>(in));
-  if (at < item->second.due || item->second.inFlight) plan(item, at);
+  const double factor = uniform(1 - kRefreshJitter, 1 + kRefreshJitter);
+  const auto dueAt = now + static_cast<Nanoseconds>(factor * static_cast<double>(delay));
+  if (dueAt < item->second.dueAt || item->second.isInFlight) schedule(item, dueAt);
 }
 
-std::optional<dns::Question> RefreshSchedule::take(Nanoseconds now) {
-  if (open_ >= mostOpen_ || due_.empty() || due_.begin()->first > now) return std::nullopt;
+std::optional<dns::Question> RefreshSchedule::startDue(Nanoseconds now) {
+  if (inFlight_ >= maxInFlight_ || due_.empty() || due_.begin()->first > now) return std::nullopt;
   const auto question = due_.begin()->second;
   due_.erase(due_.begin());
-  items_.at(question).inFlight = true;
-  ++open_;
+  items_.at(question).isInFlight = true;
+  ++inFlight_;
   return question;
 }
 
-Nanoseconds RefreshSchedule::nextAt() const {
-  return open_ >= mostOpen_ || due_.empty() ? kNeverDue : due_.begin()->first;
+Nanoseconds RefreshSchedule::nextDueAt() const {
+  return inFlight_ >= maxInFlight_ || due_.empty() ? kNeverDue : due_.begin()->first;
 }
 
-bool RefreshSchedule::told(const dns::Question &question, const Answer &answer, Nanoseconds now) {
-  const auto item = items_.find(question);
-  if (item == items_.end() || !item->second.inFlight) return false;
-  auto &it = item->second;
-  it.inFlight = false;
-  --open_;
-  if (answer.said == Said::failed) {
-    // Guards the servers of names against instances that fail together and ask again together.
-    const double least = static_cast<double>(terms_.backOffLeast);
-    const double most = std::min(3.0 * std::max(static_cast<double>(it.backOff), least),
-                                 static_cast<double>(terms_.backOffMost));
-    it.backOff = static_cast<Nanoseconds>(uniform(least, std::max(most, least)));
-    plan(item, now + it.backOff);
+// Guards the DNS servers against instances that fail together and retry together: backoff with decorrelated
+// jitter.
+Nanoseconds RefreshSchedule::nextBackoff(Nanoseconds previous) {
+  const double least = static_cast<double>(settings_.minBackoff);
+  const double most = std::min(kBackoffGrowth * std::max(static_cast<double>(previous), least),
+                               static_cast<double>(settings_.maxBackoff));
+  return static_cast<Nanoseconds>(uniform(least, std::max(most, least)));
+}
+
+bool RefreshSchedule::onOutcome(const dns::Question &question, const LookupOutcome &outcome,
+                                Nanoseconds now) {
+  const auto at = items_.find(question);
+  if (at == items_.end() || !at->second.isInFlight) return false;
+  auto &item = at->second;
+  item.isInFlight = false;
+  --inFlight_;
+  if (outcome.result == LookupResult::failed) {
+    item.backoff = nextBackoff(item.backoff);
+    schedule(at, now + item.backoff);
     return true;
   }
-  const Nanoseconds lifetime = bounded(answer.lifetime >= 0 ? answer.lifetime : terms_.denialDefault);
-  it.backOff = 0;
-  it.goodAt = now;
-  it.goodUntil = now + lifetime;
-  plan(item, now + static_cast<Nanoseconds>(uniform(terms_.refreshFrom, terms_.refreshTo) *
-                                            static_cast<double>(lifetime)));
+  const Nanoseconds ttl = bounded(outcome.ttl >= 0 ? outcome.ttl : settings_.defaultNegativeTtl);
+  item.backoff = 0;
+  item.goodAt = now;
+  item.goodUntil = now + ttl;
+  const double fraction = uniform(settings_.minRefreshFraction, settings_.maxRefreshFraction);
+  schedule(at, now + static_cast<Nanoseconds>(fraction * static_cast<double>(ttl)));
   return true;
 }
 
-void RefreshSchedule::cameAlong(const dns::Question &question, Nanoseconds lifetime, Nanoseconds now) {
-  const auto [item, first] = items_.try_emplace(question);
-  auto &it = item->second;
-  if (it.inFlight) return; // its own answer is about to come
-  it.backOff = 0;
-  it.goodAt = now;
-  it.goodUntil = now + bounded(lifetime);
-  // The question that it came with is asked before the end of the shorter lifetime and brings it again; asked
-  // for itself only if that fails.
-  plan(item, it.goodUntil);
+void RefreshSchedule::onAdditionalRecords(const dns::Question &question, Nanoseconds ttl, Nanoseconds now) {
+  const auto at = items_.try_emplace(question).first;
+  auto &item = at->second;
+  if (item.isInFlight) return; // its own answer is about to come
+  item.backoff = 0;
+  item.goodAt = now;
+  item.goodUntil = now + bounded(ttl);
+  // The question that these records came with is refreshed before the shorter TTL ends and brings them again;
+  // this one is looked up for itself only if that fails.
+  schedule(at, item.goodUntil);
 }
 
-Age RefreshSchedule::age(const dns::Question &question, Nanoseconds now) const {
-  const auto item = items_.find(question);
-  if (item == items_.end() || item->second.goodUntil == 0) return Age::never;
-  const Nanoseconds until = item->second.goodUntil;
-  return now <= until ? Age::fresh : now - until <= terms_.staleMost ? Age::stale : Age::expired;
+Freshness RefreshSchedule::freshness(const dns::Question &question, Nanoseconds now) const {
+  const Nanoseconds until = goodUntil(question);
+  if (until == 0) return Freshness::never;
+  if (now <= until) return Freshness::fresh;
+  return now - until <= settings_.staleTime ? Freshness::stale : Freshness::expired;
 }
 
 Nanoseconds RefreshSchedule::goodUntil(const dns::Question &question) const {
--- a/src/policy/dns_refresh_schedule.h
+++ b/src/policy/dns_refresh_schedule.h
@@ -1,5 +1,6 @@
-// Which question is asked when: lifetimes of good and of negative answers, refresh ahead of their end,
-// back-off after failures, one flight a question, a bounded number of flights. No I/O, no clock of its own.
+// When each DNS question is looked up: TTLs of positive and negative answers, refresh ahead of their end,
+// backoff after failures, one look-up at a time for each question, a bounded number of look-ups in flight. No
+// I/O, no clock of its own; times are nanoseconds.
 #pragma once
 
 #include "policy/dns_lookup.h"
@@ -9,58 +10,69 @@
 
 namespace myrtlehead::dns_resolution {
 
-// What is known about a question at a moment.
-enum class Age {
-  never,   // no good answer yet
-  fresh,   // within its lifetime
-  stale,   // past it, and served on
-  expired, // past what staleMost allows
+// Age of the latest answer to a question.
+enum class Freshness {
+  never,   // there is no answer yet
+  fresh,   // within its TTL
+  stale,   // past its TTL, still served
+  expired, // past its TTL by more than staleTime
 };
 
 class RefreshSchedule {
 public:
-  RefreshSchedule(const ResolutionSettings &terms, std::uint64_t seed, std::size_t mostOpen = 32)
-      : terms_(terms), chance_(seed), mostOpen_(mostOpen) {}
+  static constexpr std::size_t kMaxInFlight = 32;     // look-ups
+  static constexpr Nanoseconds kNeverDue = INT64_MAX; // for nextDueAt()
 
-  // To be asked from now on; the first time within `spread`, by chance. Nothing if it is known.
-  void want(const dns::Question &question, Nanoseconds spread, Nanoseconds now);
-  void forget(const dns::Question &question); // a flight that is out ends in nothing
-  // Asked at once and not after its lifetime, but with jitter about `in`.
-  void hasten(const dns::Question &question, Nanoseconds in, Nanoseconds now);
+  // `settings` must outlive the schedule.
+  RefreshSchedule(const ResolutionSettings &settings, std::uint64_t seed,
+                  std::size_t maxInFlight = kMaxInFlight)
+      : settings_(settings), random_(seed), maxInFlight_(maxInFlight) {}
 
-  // A question that is due, which is in flight from now on; nullopt: none, or too many are.
-  std::optional<dns::Question> take(Nanoseconds now);
-  Nanoseconds
-  nextAt() const; // when take() should be asked again; kNeverDue where only an answer changes that
-  // What a flight came to; false: nobody wants it any more.
-  bool told(const dns::Question &question, const Answer &answer, Nanoseconds now);
-  // A good answer that came along with another's: takes the place of a flight.
-  void cameAlong(const dns::Question &question, Nanoseconds lifetime, Nanoseconds now);
+  // Adds a question, first due at a random time within `spread`. No effect if it is scheduled already.
+  void add(const dns::Question &question, Nanoseconds spread, Nanoseconds now);
+  // Removes a question; the result of a look-up in flight is then ignored.
+  void remove(const dns::Question &question);
+  // Makes a question due after `delay` with jitter, if that is earlier than planned.
+  void refreshSoon(const dns::Question &question, Nanoseconds delay, Nanoseconds now);
 
-  Age age(const dns::Question &question, Nanoseconds now) const;
-  Nanoseconds goodUntil(const dns::Question &question) const; // the end of its lifetime; 0: none yet
-  Nanoseconds goodAt(const dns::Question &question) const;    // when it was told; 0: never
-  void restore(const dns::Question &question, Nanoseconds goodAt, Nanoseconds goodUntil); // from a snapshot
-  std::size_t open() const { return open_; }
+  // Starts a look-up that is due and returns its question; nullopt: none is due, or too many are in flight.
+  std::optional<dns::Question> startDue(Nanoseconds now);
+  // When startDue() is to be called again; kNeverDue: only after a look-up has finished.
+  Nanoseconds nextDueAt() const;
+  // The outcome of a look-up in flight. False: the question has been removed, the outcome is of no use.
+  bool onOutcome(const dns::Question &question, const LookupOutcome &outcome, Nanoseconds now);
+  // Records that came with the answer to another question, in place of a look-up.
+  void onAdditionalRecords(const dns::Question &question, Nanoseconds ttl, Nanoseconds now);
+
+  Freshness freshness(const dns::Question &question, Nanoseconds now) const;
+  Nanoseconds goodUntil(const dns::Question &question) const; // end of the answer's TTL; 0: no answer yet
+  Nanoseconds goodAt(const dns::Question &question) const;    // time of the answer; 0: no answer yet
+  // The times of an answer from a snapshot.
+  void restore(const dns::Question &question, Nanoseconds goodAt, Nanoseconds goodUntil);
+  std::size_t inFlight() const { return inFlight_; }
   std::size_t size() const { return items_.size(); }
-  static constexpr Nanoseconds kNeverDue = INT64_MAX;
 
 private:
   struct Item {
-    Nanoseconds due = 0;
-    bool inFlight = false;
-    Nanoseconds goodAt = 0, goodUntil = 0;
-    Nanoseconds backOff = 0; // the latest pause after a failure
+    Nanoseconds dueAt = 0;
+    bool isInFlight = false;
+    Nanoseconds goodAt = 0;
+    Nanoseconds goodUntil = 0;
+    Nanoseconds backoff = 0; // the latest after a failure; 0: the latest look-up succeeded
   };
   using Items = std::map<dns::Question, Item>;
-  double uniform(double from, double to) { return std::uniform_real_distribution<double>(from, to)(chance_); }
-  void plan(Items::iterator item, Nanoseconds at);
-  Nanoseconds bounded(Nanoseconds lifetime) const;
-  const ResolutionSettings &terms_;
-  std::knuth_b chance_;
-  std::size_t mostOpen_, open_ = 0;
+
+  double uniform(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random_); }
+  void schedule(Items::iterator item, Nanoseconds dueAt);
+  Nanoseconds nextBackoff(Nanoseconds previous);
+  Nanoseconds bounded(Nanoseconds ttl) const;
+
+  const ResolutionSettings &settings_;
+  std::knuth_b random_;
+  std::size_t maxInFlight_;
+  std::size_t inFlight_ = 0;
   Items items_;
-  std::set<std::pair<Nanoseconds, dns::Question>> due_; // those not in flight
+  std::set<std::pair<Nanoseconds, dns::Question>> due_; // those not in flight, by time
 };
 
 } // namespace myrtlehead::dns_resolution
--- a/src/policy/dns_settings.h
+++ b/src/policy/dns_settings.h
@@ -1,4 +1,4 @@
-// How long what was resolved is believed, and how often is asked. Plain values.
+// Settings of DNS look-ups: bounds of TTLs, timeouts, backoff. Plain values; times in nanoseconds.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,17 @@
 using Nanoseconds = std::int64_t;
 
 struct ResolutionSettings {
-  Nanoseconds floor = 1'000'000'000, ceiling = 3'600'000'000'000; // of a lifetime, ns
-  Nanoseconds staleMost = 3 * 86'400'000'000'000; // past its lifetime a good answer serves so long
-  Nanoseconds denialDefault = 60'000'000'000;     // of a denial that tells no lifetime
-  Nanoseconds firstWait = 400'000'000;            // for the first answer; doubled for each retry
-  int tries = 5;                                  // of one look-up, over all servers
-  Nanoseconds backOffLeast = 1'000'000'000, backOffMost = 30'000'000'000; // between look-ups that fail
-  double refreshFrom = 0.75, refreshTo = 0.95; // of a lifetime, by chance between them
+  Nanoseconds minTtl = 1'000'000'000;              // shorter TTLs count as this
+  Nanoseconds maxTtl = 3'600'000'000'000;          // longer TTLs count as this
+  Nanoseconds staleTime = 3 * 86'400'000'000'000;  // past its TTL an answer serves for so long
+  Nanoseconds defaultNegativeTtl = 60'000'000'000; // of an answer that gives no TTL
+  Nanoseconds firstTimeout = 400'000'000;          // of the first query; doubled for each retry
+  int maxAttempts = 5;                             // of one look-up, over all servers
+  Nanoseconds minBackoff = 1'000'000'000;          // between look-ups that fail
+  Nanoseconds maxBackoff = 30'000'000'000;
+  // A name is looked up again after a random fraction of its TTL between these two.
+  double minRefreshFraction = 0.75;
+  double maxRefreshFraction = 0.95;
   bool operator==(const ResolutionSettings &) const = default;
 };
 
--- a/src/policy/endpoint_merge_types.h
+++ b/src/policy/endpoint_merge_types.h
@@ -1,5 +1,5 @@
-// Values that the parts of the endpoint merge share: entries of the endpoint list, SRV targets, results of DNS
-// look-ups, limits.
+// Values that the parts of the endpoint merge share: entries of the endpoint list, SRV targets, results of
+// DNS look-ups, limits.
 #pragma once
 
 #include "policy/types.h"
--- a/src/policy/flap_damping.h
+++ b/src/policy/flap_damping.h
@@ -1,5 +1,5 @@
-// Flap damping (after RFC 2439): a target that leaves a record set and returns collects a penalty, which decays
-// exponentially. Above one threshold the target is suppressed, below another it is used again.
+// Flap damping (after RFC 2439): a target that leaves a record set and returns collects a penalty, which
+// decays exponentially. Above one threshold the target is suppressed, below another it is used again.
 #pragma once
 
 #include "policy/earliest_after.h"
@@ -7,10 +7,10 @@
 namespace myrtlehead::endpoint_merge {
 
 struct FlapDampingSettings {
-  Nanoseconds halfLife = 60 * kSecond;          // of the penalty
-  double suppressAbove = 3;                     // penalty; each return adds 1
-  double reuseBelow = 1;                        // penalty
-  Nanoseconds maxSuppressTime = 300 * kSecond;  // a suppression ends after this in any case
+  Nanoseconds halfLife = 60 * kSecond;         // of the penalty
+  double suppressAbove = 3;                    // penalty; each return adds 1
+  double reuseBelow = 1;                       // penalty
+  Nanoseconds maxSuppressTime = 300 * kSecond; // a suppression ends after this in any case
   bool operator==(const FlapDampingSettings &) const = default;
 };
 
--- a/src/policy/loss_retention.h
+++ b/src/policy/loss_retention.h
@@ -13,7 +13,7 @@
 struct LossRetentionSettings {
   Nanoseconds retentionTime = 30 * kSecond;       // a sudden loss is retained at most this long
   Nanoseconds confirmationInterval = 2 * kSecond; // between look-ups while a loss is retained
-  int confirmations = 3; // answers in a row, the first included, that confirm a loss
+  int confirmations = 3;                          // answers in a row, the first included, that confirm a loss
   bool operator==(const LossRetentionSettings &) const = default;
 };
 
--- a/src/policy/srv_record_set.h
+++ b/src/policy/srv_record_set.h
@@ -14,8 +14,8 @@
 struct TargetState {
   int priority = 0;
   int weight = 0;
-  bool isPresent = false; // in the record set, a retained target included
-  bool isMissing = false; // present, but the latest answer leaves it out
+  bool isPresent = false;  // in the record set, a retained target included
+  bool isMissing = false;  // present, but the latest answer leaves it out
   bool wasInitial = false; // in the first answer: its endpoint started before this instance looked
   Nanoseconds goneAt = 0;  // 0: present, or never seen
   FlapHistory flaps;
@@ -28,8 +28,8 @@
   SrvRecordSet(std::string name, int release, int zone)
       : name_(std::move(name)), release_(release), zone_(zone) {}
 
-  // The result of a look-up other than `failed`, valid until `goodUntil`. `staleTime`: for how long the targets
-  // serve as a last resort after the set is confirmed empty.
+  // The result of a look-up other than `failed`, valid until `goodUntil`. `staleTime`: for how long the
+  // targets serve as a last resort after the set is confirmed empty.
   NextLookup onAnswer(DnsRecordsResult result, const std::vector<Target> &targets, Nanoseconds goodUntil,
                       Nanoseconds now, const LossRetentionSettings &retention,
                       const FlapDampingSettings &damping, Nanoseconds staleTime);
