--- a/src/base/storage/atomic_file.cpp
+++ b/src/base/storage/atomic_file.cpp
@@ -14,15 +14,16 @@
 
 namespace {
 
-constexpr std::string_view kMark = "myrtlehead ";
-constexpr std::size_t kMostBytes = 64u << 20;
+constexpr std::string_view kMagic = "myrtlehead ";
+constexpr std::size_t kMaxFileBytes = 64u << 20;
 
-std::string headerOf(const Kind &kind, std::string_view payload) {
-  return fmt::format("{}{} of '{}', format {}, {} bytes, xxh3 {:016x}\n", kMark, kind.what, kind.of,
-                     kind.format, payload.size(), XXH3_64bits(payload.data(), payload.size()));
+std::string headerFor(const FileIdentity &identity, std::string_view payload) {
+  return fmt::format("{}{} of '{}', format {}, {} bytes, xxh3 {:016x}\n", kMagic, identity.content,
+                     identity.owner, identity.format, payload.size(),
+                     XXH3_64bits(payload.data(), payload.size()));
 }
 
-// One descriptor, closed at the end.
+// An open file; the destructor closes it.
 class File {
 public:
   File(const char *path, int flags) : fd_(::open(path, flags | O_CLOEXEC, 0600)) {}
@@ -31,7 +32,7 @@
   }
   File(const File &) = delete;
   File &operator=(const File &) = delete;
-  bool opened() const { return fd_ >= 0; }
+  bool isOpen() const { return fd_ >= 0; }
   bool write(std::string_view bytes) const {
     while (!bytes.empty()) {
       const auto n = ::write(fd_, bytes.data(), bytes.size());
@@ -47,98 +48,110 @@
   int fd_;
 };
 
-std::string fault(const char *doing, const std::string &path) {
-  return std::string("can't ") + doing + " " + path + ": " + std::strerror(errno);
+SaveError saveError(SaveError::Step step, const std::string &path) { return {step, path, errno}; }
+
+std::string folderOf(const std::string &path) {
+  const auto slash = path.rfind('/');
+  return slash == std::string::npos ? "." : path.substr(0, slash + 1);
 }
 
 } // namespace
 
-std::string seal(const Kind &kind, std::string_view payload) {
-  return headerOf(kind, payload).append(payload);
+std::string SaveError::text() const {
+  constexpr const char *kSteps[] = {"open", "write", "replace", "sync the folder of"};
+  return std::string("can't ") + kSteps[static_cast<int>(step)] + " " + path + ": " +
+         std::strerror(errorNumber);
 }
 
-Opened open(std::string_view bytes, const Kind &kind) {
-  const auto end = bytes.find('\n');
-  const auto header = bytes.substr(0, end);
-  const auto expected = fmt::format("{}{} of '{}', format ", kMark, kind.what, kind.of);
-  if (!header.starts_with(kMark) || end == std::string_view::npos)
-    return {bytes.empty() ? Opened::torn : Opened::foreign, "", "it is no state of this program"};
+std::string encode(const FileIdentity &identity, std::string_view payload) {
+  return headerFor(identity, payload).append(payload);
+}
+
+LoadResult decode(std::string_view bytes, const FileIdentity &identity) {
+  constexpr std::size_t kMaxQuotedHeader = 80;
+  const auto headerEnd = bytes.find('\n');
+  const auto header = bytes.substr(0, headerEnd);
+  const auto expected = fmt::format("{}{} of '{}', format ", kMagic, identity.content, identity.owner);
+  if (!header.starts_with(kMagic) || headerEnd == std::string_view::npos)
+    return {bytes.empty() ? LoadStatus::corrupted : LoadStatus::foreign, "",
+            "it is not a state file of this program"};
   if (!header.starts_with(expected))
-    return {Opened::foreign, "", "it is of another kind or marshal: " + std::string(header.substr(0, 80))};
-  const auto format = header.substr(expected.size(), header.find(',', expected.size()) - expected.size());
-  if (format != std::to_string(kind.format))
-    return {Opened::otherFormat, "",
-            fmt::format("it has format {}, and this program reads {}", format, kind.format)};
-  const auto payload = bytes.substr(end + 1);
-  if (bytes.substr(0, end + 1) != headerOf(kind, payload))
-    return {Opened::torn, "", "its length or checksum is not the one that its first line tells"};
-  return {Opened::none, std::string(payload), ""};
+    return {LoadStatus::foreign, "",
+            "it has other content or is another instance's: " +
+                std::string(header.substr(0, kMaxQuotedHeader))};
+  const auto formatEnd = header.find(',', expected.size());
+  const auto format = header.substr(expected.size(), formatEnd - expected.size());
+  if (format != std::to_string(identity.format))
+    return {LoadStatus::otherFormat, "",
+            fmt::format("it has format {}, and this program reads {}", format, identity.format)};
+  const auto payload = bytes.substr(headerEnd + 1);
+  if (bytes.substr(0, headerEnd + 1) != headerFor(identity, payload))
+    return {LoadStatus::corrupted, "", "its length or checksum is not the one in its header"};
+  return {LoadStatus::loaded, std::string(payload), ""};
 }
 
-Opened load(const std::string &path, const Kind &kind) {
+LoadResult load(const std::string &path, const FileIdentity &identity) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) return {Opened::missing, "", "there is none"};
+  if (!in) return {LoadStatus::missing, "", "there is none"};
   std::ostringstream text;
   text << in.rdbuf();
-  auto bytes = std::move(text).str();
-  auto out = bytes.size() > kMostBytes ? Opened{Opened::torn, "", "it is larger than 64 MiB"}
-                                       : open(bytes, kind);
-  if (out.refusal != Opened::none) {
+  const auto bytes = std::move(text).str();
+  auto result = bytes.size() > kMaxFileBytes
+                    ? LoadResult{LoadStatus::corrupted, "", "it is larger than 64 MiB"}
+                    : decode(bytes, identity);
+  if (result.status != LoadStatus::loaded) {
     const auto aside = path + ".refused";
-    if (std::rename(path.c_str(), aside.c_str()) == 0) out.why += "; kept as " + aside;
+    if (std::rename(path.c_str(), aside.c_str()) == 0) result.problem += "; kept as " + aside;
   }
-  return out;
+  return result;
 }
 
-std::string save(const std::string &path, std::string_view bytes) {
-  const auto beside = path + ".new";
+std::optional<SaveError> save(const std::string &path, std::string_view bytes) {
+  using Step = SaveError::Step;
+  const auto newPath = path + ".new";
   {
-    const File file(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC);
-    if (!file.opened()) return fault("open", beside);
-    if (!file.write(bytes) || !file.sync()) return fault("write", beside);
+    const File file(newPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC);
+    if (!file.isOpen()) return saveError(Step::open, newPath);
+    if (!file.write(bytes) || !file.sync()) return saveError(Step::write, newPath);
   }
-  if (std::rename(beside.c_str(), path.c_str()) != 0) return fault("replace", path);
-  const auto slash = path.rfind('/');
-  const File folder(slash == std::string::npos ? "." : path.substr(0, slash + 1).c_str(),
-                    O_RDONLY | O_DIRECTORY);
-  if (!folder.opened() || !folder.sync()) return fault("sync the folder of", path);
-  return "";
+  if (std::rename(newPath.c_str(), path.c_str()) != 0) return saveError(Step::replace, path);
+  const File folder(folderOf(path).c_str(), O_RDONLY | O_DIRECTORY);
+  if (!folder.isOpen() || !folder.sync()) return saveError(Step::syncFolder, path);
+  return std::nullopt;
 }
 
-Writer::~Writer() {
+AtomicFileWriter::~AtomicFileWriter() {
   {
     const std::lock_guard lock(mutex_);
-    over_ = true;
+    isClosing_ = true;
   }
-  handed_.notify_one();
+  submitted_.notify_one();
   thread_.join();
 }
 
-void Writer::put(std::string bytes) {
+void AtomicFileWriter::submit(std::string bytes) {
   {
     const std::lock_guard lock(mutex_);
     next_ = std::move(bytes);
-    waiting_ = true;
   }
-  handed_.notify_one();
+  submitted_.notify_one();
 }
 
-std::string Writer::lastFault() {
+std::optional<SaveError> AtomicFileWriter::takeLastError() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(fault_, "");
+  return std::exchange(lastError_, std::nullopt);
 }
 
-void Writer::run() {
+void AtomicFileWriter::run() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    handed_.wait(lock, [&] { return waiting_ || over_; });
-    if (!waiting_) return;
-    waiting_ = false;
-    const auto bytes = std::exchange(next_, "");
+    submitted_.wait(lock, [&] { return next_.has_value() || isClosing_; });
+    if (!next_) return;
+    const auto bytes = *std::exchange(next_, std::nullopt);
     lock.unlock();
-    auto why = save(path_, bytes);
+    auto error = save(path_, bytes);
     lock.lock();
-    if (!why.empty()) fault_ = std::move(why);
+    if (error) lastError_ = std::move(error);
   }
 }
 
--- a/src/base/storage/atomic_file.h
+++ b/src/base/storage/atomic_file.h
@@ -1,53 +1,76 @@
-// State that outlives the program: a file that is whole or not there. One header line says what it is, in
-// which format, how long, with a checksum (XXH3); it is written beside its place, synced, and moved there.
+// State files that are either complete or not there: written beside their place, synced, and renamed into it.
+// One header line says what the file holds, whose it is, in which format, its length and checksum (XXH3).
 #pragma once
 
 #include <condition_variable>
 #include <mutex>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <thread>
 
 namespace myrtlehead::storage {
 
-// What a file must be to be believed.
-struct Kind {
-  std::string what; // "names"
-  std::string of;   // whose: another instance's is foreign
+// What a file must be to be accepted.
+struct FileIdentity {
+  std::string content; // "names"
+  std::string owner;   // the instance's name: another instance's file is foreign
   int format = 1;
 };
 
-struct Opened {
-  enum Refusal { none, missing, foreign, otherFormat, torn } refusal = none;
-  std::string payload; // where none
-  std::string why;     // otherwise
+enum class LoadStatus {
+  loaded,
+  missing,
+  foreign, // no file of this program, of other content, or another instance's
+  otherFormat,
+  corrupted, // truncated or changed: length or checksum differ
 };
 
-std::string seal(const Kind &kind, std::string_view payload);
-Opened open(std::string_view bytes, const Kind &kind);
+struct LoadResult {
+  LoadStatus status = LoadStatus::loaded;
+  std::string payload; // where loaded
+  std::string problem; // otherwise, in words
+};
+
+// The file's bytes: header line and payload.
+std::string encode(const FileIdentity &identity, std::string_view payload);
+LoadResult decode(std::string_view bytes, const FileIdentity &identity);
+
+// Reads and decodes a file of at most 64 MiB. One that is rejected is renamed to its name with ".refused"
+// behind it, so that nothing is lost.
+LoadResult load(const std::string &path, const FileIdentity &identity);
 
-// A file that is refused is set aside under its name with ".refused" behind it, so that nothing is lost.
-Opened load(const std::string &path, const Kind &kind);
-std::string save(const std::string &path, std::string_view bytes); // "", or why not
+struct SaveError {
+  enum class Step { open, write, replace, syncFolder };
+  Step step;
+  std::string path;
+  int errorNumber = 0; // errno
+  std::string text() const;
+};
+
+// Replaces the file atomically. nullopt: it is on disk.
+std::optional<SaveError> save(const std::string &path, std::string_view bytes);
 
-// Saves on a thread of its own, for a disk may take its time: the latest that was handed over, one after the
-// other.
-class Writer {
+// Saves on a thread of its own, since a disk may be slow. Of contents submitted while it is busy only the
+// latest is saved.
+class AtomicFileWriter {
 public:
-  explicit Writer(std::string path) : path_(std::move(path)), thread_([this] { run(); }) {}
-  ~Writer(); // what was handed over is saved first
-  Writer(const Writer &) = delete;
-  Writer &operator=(const Writer &) = delete;
-  void put(std::string bytes);
-  std::string lastFault(); // since it was last asked; "" for none
+  explicit AtomicFileWriter(std::string path) : path_(std::move(path)), thread_([this] { run(); }) {}
+  ~AtomicFileWriter(); // saves what was submitted first
+  AtomicFileWriter(const AtomicFileWriter &) = delete;
+  AtomicFileWriter &operator=(const AtomicFileWriter &) = delete;
+  void submit(std::string bytes);
+  std::optional<SaveError> takeLastError(); // since it was last taken
 
 private:
   void run();
+
   const std::string path_;
   std::mutex mutex_;
-  std::condition_variable handed_;
-  std::string next_, fault_;
-  bool waiting_ = false, over_ = false;
+  std::condition_variable submitted_;
+  std::optional<std::string> next_; // guarded by mutex_, as are the next two
+  std::optional<SaveError> lastError_;
+  bool isClosing_ = false;
   std::thread thread_;
 };
 
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -304,20 +304,20 @@
 }
 
 std::string DnsDiscovery::encodedState() const {
-  return storage::seal(stateIdentity_, encodeSnapshot(merge_.snapshot(), unixAtZero_, sched_.now()));
+  return storage::encode(stateIdentity_, encodeSnapshot(merge_.snapshot(), unixAtZero_, sched_.now()));
 }
 
 void DnsDiscovery::saveIfDue() {
   if (stateWriter_ == nullptr) return;
-  if (const auto error = stateWriter_->lastFault(); !error.empty())
-    log_.warning("the DNS state can't be saved", {{"why", error}});
+  if (const auto error = stateWriter_->takeLastError())
+    log_.warning("the DNS state can't be saved", {{"why", error->text()}});
   // Guards the next start against half a state: one without any endpoint does not replace one that served,
   // and one whose addresses are still being looked up waits.
   const Nanoseconds interval = schedule_.inFlight() == 0 ? kSaveInterval : kSaveIntervalInFlight;
   if (!hasUnsavedState_ || merge_.figures().endpoints == 0 || sched_.now() < savedAt_ + interval) return;
   hasUnsavedState_ = false;
   savedAt_ = sched_.now();
-  stateWriter_->put(encodedState());
+  stateWriter_->submit(encodedState());
 }
 
 void DnsDiscovery::saveAtExit() {
@@ -325,23 +325,23 @@
   stateWriter_ = nullptr; // saves what was submitted first
   if (merge_.figures().endpoints == 0) return;
   const auto error = storage::save(statePath_, encodedState());
-  if (!error.empty()) log_.warning("the DNS state can't be saved", {{"why", error}});
+  if (error) log_.warning("the DNS state can't be saved", {{"why", error->text()}});
 }
 
-bool DnsDiscovery::openStateFile(const std::string &path, storage::Kind identity,
+bool DnsDiscovery::openStateFile(const std::string &path, storage::FileIdentity identity,
                                  sched::Nanoseconds unixAtZero) {
   statePath_ = path;
   stateIdentity_ = std::move(identity);
   stateIdentity_.format = kSnapshotFormat;
   unixAtZero_ = unixAtZero;
   const auto loaded = storage::load(path, stateIdentity_);
-  const bool isLoaded = loaded.refusal == storage::Opened::none;
+  const bool isLoaded = loaded.status == storage::LoadStatus::loaded;
   const auto decoded = isLoaded ? decodeSnapshot(loaded.payload, unixAtZero) : std::nullopt;
-  stateWriter_ = std::make_unique<storage::Writer>(path);
+  stateWriter_ = std::make_unique<storage::AtomicFileWriter>(path);
   if (!decoded) {
-    if (loaded.refusal != storage::Opened::missing)
+    if (loaded.status != storage::LoadStatus::missing)
       log_.warning("the saved DNS state is rejected",
-                   {{"file", path}, {"why", isLoaded ? "it can't be read" : loaded.why}});
+                   {{"file", path}, {"why", isLoaded ? "it can't be read" : loaded.problem}});
     return false;
   }
   hasGathered_ = true;
--- a/src/control/dns/dns_discovery.h
+++ b/src/control/dns/dns_discovery.h
@@ -35,7 +35,7 @@
 
   // Saves the state in this file from now on, and restores what it holds. `unixAtZero`: Unix time, in ns, at
   // which the clock read 0. False: nothing was restored; the reason is logged.
-  bool openStateFile(const std::string &path, storage::Kind identity, sched::Nanoseconds unixAtZero);
+  bool openStateFile(const std::string &path, storage::FileIdentity identity, sched::Nanoseconds unixAtZero);
   void saveAtExit();
 
   // Whether each name and address has been looked up at least once, successfully or not.
@@ -88,9 +88,9 @@
   endpoint_merge::MergeStatistics loggedStatistics_;
   bool hasLoggedCondition_ = false;
 
-  std::unique_ptr<storage::Writer> stateWriter_;
+  std::unique_ptr<storage::AtomicFileWriter> stateWriter_;
   std::string statePath_;
-  storage::Kind stateIdentity_;
+  storage::FileIdentity stateIdentity_;
   sched::Nanoseconds unixAtZero_ = 0;
   sched::Nanoseconds savedAt_ = 0;
   bool hasUnsavedState_ = false; // there was a successful outcome since the state was last saved
