--- a/src/policy/earliest_after.h
+++ b/src/policy/earliest_after.h
@@ -1,13 +1,14 @@
 // The earliest of several points in time that lie after a given one.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/time.h"
 
 #include <algorithm>
+#include <limits>
 
 namespace myrtlehead::endpoint_merge {
 
-constexpr Nanoseconds kNever = INT64_MAX;
+constexpr Nanoseconds kNever = std::numeric_limits<Nanoseconds>::max();
 
 class EarliestAfter {
 public:
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -7,6 +7,7 @@
 #include "policy/endpoint_list.h"
 #include "policy/endpoint_merge_snapshot.h"
 #include "policy/host_addresses.h"
+#include "policy/rollout_types.h"
 #include "policy/srv_record_set.h"
 #include "policy/subsetting.h"
 
--- a/src/policy/endpoint_merge_types.h
+++ b/src/policy/endpoint_merge_types.h
@@ -2,7 +2,7 @@
 // DNS look-ups, limits.
 #pragma once
 
-#include "policy/types.h"
+#include "policy/endpoint.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/policy/host_addresses.cpp
+++ b/src/policy/host_addresses.cpp
@@ -1,5 +1,7 @@
 #include "policy/host_addresses.h"
 
+#include "policy/rollout_types.h"
+
 #include <algorithm>
 #include <charconv>
 
