--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -174,7 +174,7 @@
 // Only where there is more than one group.
 void Router::observePriorityGroups() {
   if (merge_ == nullptr) return;
-  const auto groups = merge_->figures().groups;
+  const auto groups = merge_->figures().priorityGroups;
   if (prioritySelector_.groups() <= 1 && groups <= 1) return;
   std::vector<priority_selector::PrioritySelector::Group> observed(std::max<std::size_t>(groups, 1));
   for (const auto *endpoint : policy_.readyEndpoints()) {
