--- a/lab/histories.cpp
+++ b/lab/histories.cpp
@@ -35,7 +35,7 @@
   struct Ways final : cluster::MemberClient {
     Ways(World &w, Life &l, std::uint32_t n) : world(w), owner(l), number(n) {}
     net::Task<net::Result<HttpResponse>> ask(std::uint32_t member, std::string what, std::string body,
-                                         net::Deadline until) override;
+                                             net::Deadline until) override;
     World &world;
     Life &owner;
     std::uint32_t number;
@@ -121,7 +121,7 @@
 }
 
 net::Task<net::Result<HttpResponse>> Life::Ways::ask(std::uint32_t member, std::string what, std::string body,
-                                                 net::Deadline until) {
+                                                     net::Deadline until) {
   co_await owner.gate();
   const Nanoseconds there = world.any(kMillisecond / 2,
                                       world.oneIn(20) ? 400 * kMillisecond : 5 * kMillisecond),
--- a/src/app/bootstrap/bootstrap_config.cpp
+++ b/src/app/bootstrap/bootstrap_config.cpp
@@ -8,102 +8,135 @@
 
 namespace {
 
+constexpr std::size_t kMebibyte = 1 << 20; // bytes
+
+enum class Presence { required, optional };
+
 const json::Value &field(const json::Value &in, const char *name, json::Value::Kind kind) {
-  const auto *v = in.find(name);
-  if (v == nullptr) throw SetupError(std::string("the configuration has no '") + name + "'");
-  if (v->kind != kind) throw SetupError(std::string("the configuration's '") + name + "' is of another type");
-  return *v;
+  const auto *value = in.find(name);
+  if (value == nullptr) throw ConfigError(std::string("the configuration has no '") + name + "'");
+  if (value->kind != kind)
+    throw ConfigError(std::string("the configuration's '") + name + "' is of another type");
+  return *value;
+}
+
+net::Address parseAddress(const json::Value &value, const char *name) {
+  const auto address = value.kind == json::Value::string ? net::parseAddress(value.text) : std::nullopt;
+  if (!address) throw ConfigError(std::string("the configuration's '") + name + "' is no address");
+  return *address;
 }
 
-net::Address address(const json::Value &v, const char *name) {
-  const auto a = v.kind == json::Value::string ? net::parseAddress(v.text) : std::nullopt;
-  if (!a) throw SetupError(std::string("the configuration's '") + name + "' is no address");
-  return *a;
+net::Address addressField(const json::Value &in, const char *name, Presence presence) {
+  if (presence == Presence::optional && in.find(name) == nullptr) return {};
+  return parseAddress(field(in, name, json::Value::string), name);
 }
 
-net::Address address(const json::Value &in, const char *name, bool needed) {
-  if (!needed && in.find(name) == nullptr) return {};
-  return address(field(in, name, json::Value::string), name);
+// The texts of a list; empty where there is none.
+std::vector<std::string> textList(const json::Value &in, const char *list) {
+  std::vector<std::string> out;
+  const auto *items = in.find(list);
+  if (items == nullptr) return out;
+  for (const auto &item : items->items) out.push_back(item.text);
+  return out;
 }
 
-std::vector<std::string> names(const json::Value &settings, const char *list, const char *of) {
+// The texts of one field of each object of a list; "" where an object lacks it.
+std::vector<std::string> textsOfField(const json::Value &in, const char *list, const char *field) {
   std::vector<std::string> out;
-  const auto *items = settings.find(list);
+  const auto *items = in.find(list);
   if (items == nullptr) return out;
   for (const auto &item : items->items) {
-    const auto *name = of == nullptr ? &item : item.find(of);
-    out.push_back(name == nullptr ? "" : name->text);
+    const auto *value = item.find(field);
+    out.push_back(value == nullptr ? "" : value->text);
   }
   return out;
 }
 
-std::uint64_t seedOf(const json::Value &v) {
+std::uint64_t parseSeed(const json::Value &value) {
+  const auto &text = value.text;
   std::uint64_t seed = 0;
-  const auto r = std::from_chars(v.text.data(), v.text.data() + v.text.size(), seed, 16);
-  if (v.text.empty() || r.ec != std::errc{} || r.ptr != v.text.data() + v.text.size())
-    throw SetupError("the configuration's 'seed' is no hexadecimal number");
+  const auto result = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  if (text.empty() || result.ec != std::errc{} || result.ptr != text.data() + text.size())
+    throw ConfigError("the configuration's 'seed' is no hexadecimal number");
   return seed;
 }
 
+void readOwnFields(const json::Value &in, BootstrapConfig &out) {
+  out.name = field(in, "name", json::Value::string).text;
+  out.listenAddress = addressField(in, "listen", Presence::required);
+  out.discoveryAddress = addressField(in, "discovery", Presence::required);
+  out.seed = parseSeed(field(in, "seed", json::Value::string));
+  const auto &platform = field(in, "platform", json::Value::object);
+  out.platformAddress = addressField(platform, "address", Presence::required);
+  if (const auto *state = platform.find("news")) out.rolloutState = *state;
+  if (const auto *known = in.find("known")) out.knownEndpoints = *known;
+}
+
+void readDeploymentSettings(const json::Value &settings, BootstrapConfig &out) {
+  const auto paths = ConfigPaths::fromJson(settings);
+  out.deployment = readDeployment(paths);
+  out.routeNames = textsOfField(settings, "services", "name");
+  for (std::size_t i = 0; i < out.routeNames.size(); ++i)
+    out.routeTimeouts.push_back(
+        paths.microseconds("services." + std::to_string(i) + ".deadlineUs", 60 * kSecond));
+  out.zoneNames = textList(settings, "failureDomains");
+  if (const auto *report = settings.find("telemetry")) out.loadReportNames = textList(*report, "fields");
+  out.connectTimeout = paths.microseconds("limits.connectTimeoutUs", kSecond);
+  out.idleTimeout = paths.microseconds("limits.connIdleUs", 30 * kSecond);
+  out.controlCallTimeout = paths.microseconds("familyInfo.callTimeoutUs", kSecond);
+}
+
+void readOwnLimits(const json::Value &in, BootstrapConfig &out) {
+  const auto paths = ConfigPaths::fromJson(in);
+  out.maxDescriptors = static_cast<int>(paths.integer("limits.sockets", 1024, 64, 1'000'000));
+  out.memoryBytes = static_cast<std::size_t>(paths.integer("limits.memory_mb", 192, 16, 1'000'000)) *
+                    kMebibyte;
+}
+
+void readPeers(const json::Value &in, BootstrapConfig &out) {
+  const bool hasPeers = out.deployment.hasPeers;
+  out.peerListenAddress = addressField(in, "peer_listen", hasPeers ? Presence::required : Presence::optional);
+  out.allPeersAddress = addressField(in, "peers_all", Presence::optional);
+  if (const auto *peers = in.find("peers"))
+    for (const auto &peer : peers->items) out.peerAddresses.push_back(parseAddress(peer, "peers"));
+  if (out.deployment.routes.empty()) throw ConfigError("settings: there is no route");
+  if (hasPeers && out.peerAddresses.size() != static_cast<std::size_t>(out.deployment.instanceCount))
+    throw ConfigError("the configuration's 'peers' has not one address for each marshal");
+}
+
 } // namespace
 
 std::string readFile(const std::string &path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   if (in) text << in.rdbuf();
-  if (!in || text.str().empty()) throw SetupError("can't read the configuration " + path);
+  if (!in || text.str().empty()) throw ConfigError("can't read the configuration " + path);
   return text.str();
 }
 
 std::string needsRestart(const BootstrapConfig &from, const BootstrapConfig &to) {
   std::string out;
   for (const char *name : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"}) {
-    const auto *was = from.text.find(name), *is = to.text.find(name);
-    if ((was == nullptr) == (is == nullptr) && (was == nullptr || *was == *is)) continue;
-    out += (out.empty() ? "" : ", ") + std::string(name);
+    const auto *before = from.document.find(name);
+    const auto *after = to.document.find(name);
+    const bool isSame = before == nullptr || after == nullptr ? before == after : *before == *after;
+    if (!isSame) out += (out.empty() ? "" : ", ") + std::string(name);
   }
   return out;
 }
 
-BootstrapConfig readStation(std::string_view text) {
+BootstrapConfig readBootstrapConfig(std::string_view text) {
   std::string error;
   const auto in = json::parse(text, &error);
   if (!in || in->kind != json::Value::object)
-    throw SetupError("the configuration is no JSON object: " + error);
-  BootstrapConfig s;
-  s.name = field(*in, "name", json::Value::string).text;
-  s.listen = address(*in, "listen", true);
-  s.discovery = address(*in, "discovery", true);
-  s.seed = seedOf(field(*in, "seed", json::Value::string));
-  const auto &platform = field(*in, "platform", json::Value::object);
-  s.platform = address(platform, "address", true);
-  if (const auto *news = platform.find("news")) s.news = *news;
-  if (const auto *known = in->find("known")) s.known = *known;
-
-  const auto &settings = field(*in, "settings", json::Value::object);
-  const auto paths = Paths::ofJson(settings);
-  s.deployment = readDeployment(paths);
-  s.routes = names(settings, "services", "name");
-  for (std::size_t i = 0; i < s.routes.size(); ++i)
-    s.routeTimeouts.push_back(paths.micros("services." + std::to_string(i) + ".deadlineUs", 60 * kSecond));
-  s.zones = names(settings, "failureDomains", nullptr);
-  if (const auto *report = settings.find("telemetry")) s.loadNames = names(*report, "fields", nullptr);
-  s.connectWithin = paths.micros("limits.connectTimeoutUs", kSecond);
-  s.idleAtMost = paths.micros("limits.connIdleUs", 30 * kSecond);
-  s.callWithin = paths.micros("familyInfo.callTimeoutUs", kSecond);
-  const auto own = Paths::ofJson(*in);
-  s.descriptors = static_cast<int>(own.whole("limits.sockets", 1024, 64, 1'000'000));
-  s.memory = static_cast<std::size_t>(own.whole("limits.memory_mb", 192, 16, 1'000'000)) << 20;
-
-  s.peerListen = address(*in, "peer_listen", s.deployment.hasPeers);
-  s.peersAll = address(*in, "peers_all", false);
-  if (const auto *peers = in->find("peers"))
-    for (const auto &peer : peers->items) s.peers.push_back(address(peer, "peers"));
-  if (s.deployment.routes.empty()) throw SetupError("settings: there is no route");
-  if (s.deployment.hasPeers && s.peers.size() != static_cast<std::size_t>(s.deployment.instanceCount))
-    throw SetupError("the configuration's 'peers' has not one address for each marshal");
-  s.text = *in;
-  return s;
+    throw ConfigError("the configuration is no JSON object: " + error);
+  BootstrapConfig out;
+  readOwnFields(*in, out);
+  readDeploymentSettings(field(*in, "settings", json::Value::object), out);
+  readOwnLimits(*in, out);
+  readPeers(*in, out);
+  out.document = *in;
+  return out;
 }
 
 } // namespace myrtlehead::bootstrap
--- a/src/app/check.h
+++ b/src/app/check.h
@@ -1,4 +1,4 @@
-// `myrtlehead check`: whether files would be taken, without serving.
+// `myrtlehead check`: whether files could be used, without serving.
 #pragma once
 
 #include <string>
@@ -6,7 +6,10 @@
 
 namespace myrtlehead::app {
 
-// Writes what is wrong to standard output, a line each or one JSON object. 0: nothing; 1: something.
-int check(const std::vector<std::string> &files, bool json);
+enum class OutputForm { text, json };
+
+// Checks each file, a configuration in JSON or settings in TOML, and writes its faults to standard output: a
+// line each, or one JSON object for all. Returns the exit code: 0 where no file has a fault, otherwise 1.
+int check(const std::vector<std::string> &files, OutputForm form);
 
 } // namespace myrtlehead::app
--- /dev/null
+++ b/src/app/instance.cpp
@@ -0,0 +1,149 @@
+#include "app/instance.h"
+
+#include "app/signals.h"
+
+#include <algorithm>
+#include <ctime>
+#include <sys/resource.h>
+#include <unistd.h>
+
+namespace myrtlehead::app {
+
+namespace {
+
+// Descriptors that are not the budget's: standard streams, epoll, and what the library opens.
+constexpr int kReservedDescriptors = 8;
+// Each of the two budgets for large messages, upstream and downstream, is this part of the configured memory:
+// a large answer takes in all below three times its size, a large request below four times.
+constexpr std::size_t kLargeMessageMemoryDivisor = 8;
+// Offsets to the configured seed, so that the parts draw independently.
+constexpr std::uint64_t kDnsSeedOffset = 2;
+constexpr std::uint64_t kClusterSeedOffset = 5;
+
+// The Unix time, in ns, at which the instance's clock read 0. Each part reads it once, so that a step of the
+// machine's clock moves no endpoint's start.
+Nanoseconds unixTimeAtZero(Nanoseconds now) {
+  timespec t{};
+  clock_gettime(CLOCK_REALTIME, &t);
+  return t.tv_sec * kSecond + t.tv_nsec - now;
+}
+
+// The configured number of descriptors, or the process's limit if that is lower.
+int allowedDescriptors(int configured) {
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return configured;
+  return static_cast<int>(std::min<rlim_t>(limit.rlim_cur, static_cast<rlim_t>(configured)));
+}
+
+bool hasKnownEndpoints(const bootstrap::BootstrapConfig &config) {
+  return config.knownEndpoints.kind != json::Value::null;
+}
+
+} // namespace
+
+DnsParts::DnsParts(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
+                   const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log)
+    : metrics(registry), merge(settings.dns.prudence, settings.dns.resolution.staleMost,
+                               config.deployment.zone,
+                               subsetting::Subset(config.deployment.instanceCount,
+                                                  config.deployment.ownIndex, settings.dns.subset)),
+      discovery(sched, budget, merge, settings.dns, config.seed + kDnsSeedOffset, std::move(log), metrics) {
+  router.mergeWith(merge);
+  discovery.changed = [&router] { router.onMergeChanged(); };
+  if (!settings.stateFolder.empty())
+    discovery.keepIn(settings.stateFolder + "/names", {"names", config.name}, unixTimeAtZero(sched.now()));
+}
+
+Instance::Instance(const ServeOptions &options, const bootstrap::BootstrapConfig &config,
+                   const settings::Settings &settings, int signalDescriptor)
+    : options_(options), config_(config), settings_(settings),
+      logs_(STDERR_FILENO, settings.logForm, settings.logLevels), log_(logs_.of("program")),
+      guardLog_(logs_.of("guard")), catalogLog_(logs_.of("catalog")), platformLog_(logs_.of("platform")),
+      nodesLog_(logs_.of("nodes")), clientsLog_(logs_.of("clients")),
+      budget_(allowedDescriptors(config.maxDescriptors) - kReservedDescriptors),
+      router_(sched_, config.deployment, config.seed, guardLog_),
+      endpointWatch_(sched_, budget_, router_, catalogLog_, config.discoveryAddress, config.zoneNames,
+                     unixTimeAtZero(sched_.now())),
+      rolloutClient_(sched_, budget_, router_, platformLog_, config.platformAddress, config.routeNames,
+                     config.controlCallTimeout),
+      connectionPool_(sched_, budget_, nodesLog_, config.connectTimeout, config.idleTimeout,
+                      config.loadReportNames, config.memoryBytes / kLargeMessageMemoryDivisor),
+      dns_(settings.dns.sets.empty() ? nullptr
+                                     : std::make_unique<DnsParts>(sched_, budget_, router_, config, settings,
+                                                                  logs_.of("names"))),
+      metricsServer_(!settings.metricsAddress
+                         ? nullptr
+                         : std::make_unique<admin::MetricsServer>(sched_, budget_,
+                                                                  dns_ ? dns_->registry : emptyRegistry_,
+                                                                  *settings.metricsAddress)),
+      signals_(sched_, budget_, signalDescriptor),
+      peerTransport_(!config.deployment.hasPeers
+                         ? nullptr
+                         : std::make_unique<peers::PeerTransport>(sched_, budget_, router_,
+                                                                  config.peerListenAddress,
+                                                                  config.peerAddresses,
+                                                                  config.allPeersAddress)) {
+  sched_.onThrow = [this](const char *what) { log_.error("a coroutine ended early", {{"what", what}}); };
+  applyKnownState();
+  clusterMember_ = makeClusterMember();
+  listener_.emplace(sched_, budget_, router_, connectionPool_, clientsLog_, config.listenAddress,
+                    config.routeNames, config.routeTimeouts, config.memoryBytes / kLargeMessageMemoryDivisor);
+  reloadableParts_.emplace(ReloadableParts{options_, config_, settings_, endpointWatch_, rolloutClient_,
+                                           dns_ ? &dns_->discovery : nullptr, logs_});
+}
+
+// The endpoint list and the rollout's state that the configuration brings along.
+void Instance::applyKnownState() {
+  if (hasKnownEndpoints(config_) && !endpointWatch_.start(config_.knownEndpoints))
+    throw bootstrap::ConfigError("the configuration's 'known' is no list of nodes");
+  if (const auto state = rollout::readRolloutState(config_.rolloutState))
+    router_.onRolloutState(*state);
+  else if (config_.rolloutState.kind != json::Value::null)
+    throw bootstrap::ConfigError("the configuration's 'platform.news' can't be read");
+}
+
+std::unique_ptr<cluster::ClusterMember> Instance::makeClusterMember() {
+  if (!settings_.cluster) return nullptr;
+  cluster::Routes routes{config_.routeNames, {}};
+  for (const auto &route : config_.deployment.routes) routes.kinds.push_back(route.idempotency);
+  return std::make_unique<cluster::ClusterMember>(sched_, budget_, router_, connectionPool_,
+                                                  *settings_.cluster, std::move(routes),
+                                                  config_.routeTimeouts, unixTimeAtZero(sched_.now()),
+                                                  config_.seed + kClusterSeedOffset, logs_.of("fleet"));
+}
+
+// The order matters: the scheduler starts the tasks in it.
+void Instance::spawnTasks() {
+  sched_.spawn(router_.run());
+  sched_.spawn(endpointWatch_.run());
+  sched_.spawn(rolloutClient_.keepOpen());
+  sched_.spawn(rolloutClient_.sendVotes());
+  sched_.spawn(rolloutClient_.readBulletin());
+  sched_.spawn(connectionPool_.sweep());
+  if (peerTransport_) {
+    sched_.spawn(peerTransport_->send());
+    sched_.spawn(peerTransport_->receive());
+  }
+  if (dns_) sched_.spawn(dns_->discovery.run(hasKnownEndpoints(config_)));
+  if (metricsServer_) {
+    log_.info("serving metrics", {{"at", net::text(metricsServer_->address())}});
+    sched_.spawn(metricsServer_->accept());
+  }
+  if (clusterMember_) clusterMember_->start();
+  sched_.spawn(listener_->accept());
+  sched_.spawn(listener_->sweep());
+  sched_.spawn(applyReloads(sched_, *reloadableParts_, reloadRequest_, log_));
+  sched_.spawn(handleSignals(sched_, signals_, *listener_, clusterMember_.get(), reloadRequest_, log_));
+}
+
+void Instance::run() {
+  spawnTasks();
+  log_.info("marshal serves", {{"name", config_.name},
+                               {"routes", config_.routeNames.size()},
+                               {"at", net::text(listener_->address())}});
+  sched_.run();
+  if (dns_) dns_->discovery.saveNow();
+  sched_.endAll(); // coroutines refer to the parts, so they end first
+}
+
+} // namespace myrtlehead::app
--- a/src/app/serve.h
+++ b/src/app/serve.h
@@ -1,4 +1,4 @@
-// One instance in service: wires the parts together and serves until SIGTERM or SIGINT.
+// `myrtlehead serve`: reads the files, starts one instance and serves until SIGTERM or SIGINT.
 #pragma once
 
 #include "base/log/log.h"
@@ -8,14 +8,16 @@
 
 namespace myrtlehead::app {
 
-struct Paths {
-  std::string configuration;            // the platform's JSON
-  std::string settings;                 // the installation's TOML; "": none
-  std::optional<log::Levels> logLevels; // of the command line, before those of the settings
-  std::optional<log::Form> logForm;
+// What the command line asks for.
+struct ServeOptions {
+  std::string configPath;               // the platform's configuration, in JSON
+  std::string settingsPath;             // the installation's settings, in TOML; "": none
+  std::optional<log::Levels> logLevels; // override those of the settings
+  std::optional<log::Form> logForm;     // overrides that of the settings
 };
 
-// Throws what keeps it from serving (SetupError, std::system_error), with a sentence for whoever started it.
-void serve(const Paths &paths);
+// Returns after a graceful shutdown. Throws what keeps it from serving (ConfigError, std::system_error), with
+// a sentence for whoever started it.
+void serve(const ServeOptions &options);
 
 } // namespace myrtlehead::app
--- a/src/app/settings/cluster_settings.cpp
+++ b/src/app/settings/cluster_settings.cpp
@@ -13,16 +13,16 @@
 }
 
 void readMember(const toml::table &in, const std::string &path, cluster::Membership &out,
-                std::vector<Fault> &faults) {
+                std::vector<SettingsFault> &faults) {
   cluster::Member member;
   bool placed = false;
   {
-    Reader r(in, path, faults);
-    r.word("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
+    TableReader r(in, path, faults);
+    r.string("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
       member.name = text;
       return validMember(text);
     });
-    r.word("address", "an address and port such as \"127.0.0.1:7601\"", [&](const std::string &text) {
+    r.string("address", "an address and port such as \"127.0.0.1:7601\"", [&](const std::string &text) {
       const auto at = net::parseAddress(text);
       if (at) member.at = *at;
       return placed = at.has_value();
@@ -39,23 +39,23 @@
 
 } // namespace
 
-void readFleet(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
+void readClusterSettings(const toml::table &in, Settings &out, std::vector<SettingsFault> &faults) {
   cluster::Membership m;
   std::string name;
   bool listens = false;
   const int line = static_cast<int>(in.source().begin.line);
   {
-    Reader r(in, "fleet.", faults);
-    r.word("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
+    TableReader r(in, "fleet.", faults);
+    r.string("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
       name = text;
       return validMember(text);
     });
-    r.word("listen", "an address and port such as \"127.0.0.1:7601\"", [&](const std::string &text) {
+    r.string("listen", "an address and port such as \"127.0.0.1:7601\"", [&](const std::string &text) {
       const auto at = net::parseAddress(text);
       if (at) m.listen = *at;
       return listens = at.has_value();
     });
-    r.word("folder", "the path of a folder that lasts", [&](const std::string &text) {
+    r.string("folder", "the path of a folder that lasts", [&](const std::string &text) {
       m.folder = text;
       return !text.empty();
     });
@@ -65,14 +65,14 @@
     r.duration("keep_for", 60 * kSecond, 30 * kDay, m.terms.keepFor);
     r.duration("pause_first", kMillisecond, 60 * kSecond, m.terms.pauseFirst);
     r.duration("pause_most", kMillisecond, 3600 * kSecond, m.terms.pauseMost);
-    r.whole("starts", 1, 100, m.terms.mostStarts);
-    r.whole("queue", 1, 100'000, m.queue);
-    r.whole("slots", 0, 1000, m.slots);
+    r.integer("starts", 1, 100, m.terms.mostStarts);
+    r.integer("queue", 1, 100'000, m.queue);
+    r.integer("slots", 0, 1000, m.slots);
     if (const auto *node = r.find("member"); node != nullptr) {
       const auto *list = node->as_array();
       if (list == nullptr || list->empty() || list->size() > kMostMembers ||
           !list->is_homogeneous<toml::table>())
-        r.fault(*node, "member", "1 to 1000 tables [[fleet.member]]");
+        r.addFault(*node, "member", "1 to 1000 tables [[fleet.member]]");
       else
         for (std::size_t i = 0; i < list->size(); ++i)
           readMember(*list->get_as<toml::table>(i), "fleet.member[" + std::to_string(i) + "].", m, faults);
@@ -90,7 +90,7 @@
     faults.push_back(
         {line, "fleet.name", "expected the name of one of [[fleet.member]], found '" + name + "'"});
   m.ownIndex = static_cast<std::uint32_t>(me - m.members.begin());
-  out.fleet = std::move(m);
+  out.cluster = std::move(m);
 }
 
 } // namespace myrtlehead::settings
--- a/src/app/settings/settings.h
+++ b/src/app/settings/settings.h
@@ -1,5 +1,5 @@
-// An installation's own settings, in TOML: what the platform's configuration has no place for. Read whole and
-// checked whole; each fault says where it stands, what was expected and what stood there.
+// An installation's own settings, in TOML: what the platform's configuration has no place for. Read and
+// checked whole; each fault says where it is, what was expected and what was found.
 #pragma once
 
 #include "base/log/log.h"
@@ -14,29 +14,31 @@
 namespace myrtlehead::settings {
 
 struct Settings {
-  log::Levels levels;
-  log::Form form = log::Form::text;
-  std::optional<net::Address> metrics; // where they are asked for
-  std::string stateFolder;             // "": nothing is kept
-  dns_discovery::DnsSettings naming;
-  std::optional<cluster::Membership> fleet; // none: no thread, socket or file of it exists
+  log::Levels logLevels;
+  log::Form logForm = log::Form::text;
+  std::optional<net::Address> metricsAddress; // where metrics are served; none: nowhere
+  std::string stateFolder;                    // "": no state is stored
+  dns_discovery::DnsSettings dns;
+  std::optional<cluster::Membership> cluster; // none: no thread, socket or file of it exists
 };
 
-struct Fault {
-  int line = 0;    // 1 is the first; 0: the file as a whole
-  std::string key; // "names.set[0].release"
+struct SettingsFault {
+  int line = 0;    // from 1; 0: the file as a whole
+  std::string key; // with its path, such as "names.set[0].release"; "": none in particular
   std::string what;
 };
-std::string text(const std::string &file, const Fault &fault); // "FILE:LINE: KEY: WHAT"
+std::string text(const std::string &file, const SettingsFault &fault); // "FILE:LINE: KEY: WHAT"
 
 struct SettingsResult {
-  Settings installation; // of use only where there is no fault
-  std::vector<Fault> faults;
+  Settings settings;                 // of use only where there is no fault
+  std::vector<SettingsFault> faults; // by line
 };
-// `zones`: the deployment's, which a set's zone must name; empty: any is taken for unknown.
+
+// Reads the text of a settings file; never throws for what stands in it. `zones`: the deployment's zone
+// names, one of which a set's zone must be; empty: any name passes as an unknown zone.
 SettingsResult readSettings(std::string_view text, const std::vector<std::string> &zones);
 
-// The keys that differ and that a running instance can't take up; "" for none.
+// The keys, joined by ", ", that differ and that a running instance can't change; "" for none.
 std::string needsRestart(const Settings &from, const Settings &to);
 
 // "250ms", "1.5s", "10m", "1h", "3d" in ns; nullopt: not a duration, or one beyond 100 years.
--- /dev/null
+++ b/src/app/signals.cpp
@@ -0,0 +1,41 @@
+#include "app/signals.h"
+
+#include <csignal>
+#include <sys/signalfd.h>
+#include <unistd.h>
+
+namespace myrtlehead::app {
+
+// Guards against a signal that comes before its reader: once blocked, it waits for one.
+int openSignalDescriptor() {
+  sigset_t set;
+  sigemptyset(&set);
+  sigaddset(&set, SIGTERM);
+  sigaddset(&set, SIGINT);
+  sigaddset(&set, SIGHUP);
+  sigprocmask(SIG_BLOCK, &set, nullptr);
+  std::signal(SIGPIPE, SIG_IGN);
+  return signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
+}
+
+sched::Task<> handleSignals(sched::Scheduler &sched, net::Socket &signals, downstream::Listener &listener,
+                            cluster::ClusterMember *clusterMember, ReloadRequest &reload, log::Log &log) {
+  for (;;) {
+    signalfd_siginfo info{};
+    const auto bytesRead = read(signals.fd(), &info, sizeof info);
+    if (bytesRead != sizeof info)
+      co_await signals.readable({});
+    else if (info.ssi_signo == SIGHUP)
+      reload.request();
+    else
+      break;
+  }
+  log.info("asked to end: answers what it has taken");
+  // First the cluster member: attempts of its jobs may need descriptors that closing the listener takes.
+  if (clusterMember != nullptr) co_await clusterMember->close();
+  co_await listener.close();
+  log.info("ended");
+  sched.halt();
+}
+
+} // namespace myrtlehead::app
--- a/src/sim/wire/codec.cpp
+++ b/src/sim/wire/codec.cpp
@@ -222,8 +222,8 @@
 
 Deployment readDeployment(std::string_view text) {
   try {
-    return bootstrap::readDeployment(bootstrap::Paths::ofLines(text));
-  } catch (const bootstrap::SetupError &e) {
+    return bootstrap::readDeployment(bootstrap::ConfigPaths::fromLines(text));
+  } catch (const bootstrap::ConfigError &e) {
     throw WireError(e.what());
   }
 }
