--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -39,7 +39,7 @@
   net::Task<> drainFor(std::string name, net::Nanoseconds lasts);
   // SRV and A records of what is in service, and of what leaves unless names forget it at once.
   std::vector<std::string> zone(const std::string &service, int ttl, bool forget) const;
-  Ledger ledger;
+  EffectLedger ledger;
   bool mute = false;         // discovery tells nothing, not even a sign of life
   bool listsNothing = false; // it tells an empty list
   double cap() const { return cap_; }
--- a/src/app/bootstrap/config_paths.h
+++ b/src/app/bootstrap/config_paths.h
@@ -18,9 +18,9 @@
   using std::runtime_error::runtime_error;
 };
 
-// A list of plain values is one value joined by commas; a list has its length under PATH.count, and the fields
-// of its objects under PATH.INDEX. The getters return `absent` where the path has no value or an empty one,
-// and throw ConfigError where the value is not of the type or out of range.
+// A list of plain values is one value joined by commas; a list has its length under PATH.count, and the
+// fields of its objects under PATH.INDEX. The getters return `absent` where the path has no value or an empty
+// one, and throw ConfigError where the value is not of the type or out of range.
 class ConfigPaths {
 public:
   static ConfigPaths fromLines(std::string_view text); // throws ConfigError at a line without path=value
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -43,10 +43,10 @@
 
 DnsParts::DnsParts(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
                    const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log)
-    : metrics(registry), merge(settings.dns.prudence, settings.dns.resolution.staleMost,
-                               config.deployment.zone,
-                               subsetting::Subset(config.deployment.instanceCount,
-                                                  config.deployment.ownIndex, settings.dns.subset)),
+    : metrics(registry),
+      merge(settings.dns.prudence, settings.dns.resolution.staleMost, config.deployment.zone,
+            subsetting::Subset(config.deployment.instanceCount, config.deployment.ownIndex,
+                               settings.dns.subset)),
       discovery(sched, budget, merge, settings.dns, config.seed + kDnsSeedOffset, std::move(log), metrics) {
   router.mergeWith(merge);
   discovery.changed = [&router] { router.onMergeChanged(); };
@@ -68,21 +68,18 @@
                      config.controlCallTimeout),
       connectionPool_(sched_, budget_, nodesLog_, config.connectTimeout, config.idleTimeout,
                       config.loadReportNames, config.memoryBytes / kLargeMessageMemoryDivisor),
-      dns_(settings.dns.sets.empty() ? nullptr
-                                     : std::make_unique<DnsParts>(sched_, budget_, router_, config, settings,
-                                                                  logs_.of("names"))),
-      metricsServer_(!settings.metricsAddress
-                         ? nullptr
-                         : std::make_unique<admin::MetricsServer>(sched_, budget_,
-                                                                  dns_ ? dns_->registry : emptyRegistry_,
-                                                                  *settings.metricsAddress)),
+      dns_(settings.dns.sets.empty()
+               ? nullptr
+               : std::make_unique<DnsParts>(sched_, budget_, router_, config, settings, logs_.of("names"))),
+      metricsServer_(!settings.metricsAddress ? nullptr
+                                              : std::make_unique<admin::MetricsServer>(
+                                                    sched_, budget_, dns_ ? dns_->registry : emptyRegistry_,
+                                                    *settings.metricsAddress)),
       signals_(sched_, budget_, signalDescriptor),
-      peerTransport_(!config.deployment.hasPeers
-                         ? nullptr
-                         : std::make_unique<peers::PeerTransport>(sched_, budget_, router_,
-                                                                  config.peerListenAddress,
-                                                                  config.peerAddresses,
-                                                                  config.allPeersAddress)) {
+      peerTransport_(!config.deployment.hasPeers ? nullptr
+                                                 : std::make_unique<peers::PeerTransport>(
+                                                       sched_, budget_, router_, config.peerListenAddress,
+                                                       config.peerAddresses, config.allPeersAddress)) {
   sched_.onThrow = [this](const char *what) { log_.error("a coroutine ended early", {{"what", what}}); };
   applyKnownState();
   clusterMember_ = makeClusterMember();
@@ -106,10 +103,9 @@
   if (!settings_.cluster) return nullptr;
   cluster::Routes routes{config_.routeNames, {}};
   for (const auto &route : config_.deployment.routes) routes.kinds.push_back(route.idempotency);
-  return std::make_unique<cluster::ClusterMember>(sched_, budget_, router_, connectionPool_,
-                                                  *settings_.cluster, std::move(routes),
-                                                  config_.routeTimeouts, unixTimeAtZero(sched_.now()),
-                                                  config_.seed + kClusterSeedOffset, logs_.of("fleet"));
+  return std::make_unique<cluster::ClusterMember>(
+      sched_, budget_, router_, connectionPool_, *settings_.cluster, std::move(routes), config_.routeTimeouts,
+      unixTimeAtZero(sched_.now()), config_.seed + kClusterSeedOffset, logs_.of("fleet"));
 }
 
 // The order matters: the scheduler starts the tasks in it.
--- a/src/app/instance.h
+++ b/src/app/instance.h
@@ -62,8 +62,8 @@
   discovery::EndpointWatch endpointWatch_;
   rollout::RolloutClient rolloutClient_;
   upstream::ConnectionPool connectionPool_;
-  std::unique_ptr<DnsParts> dns_;                      // none: the settings name no set
-  prometheus::Registry emptyRegistry_;                 // served where there is no DNS discovery
+  std::unique_ptr<DnsParts> dns_;                       // none: the settings name no set
+  prometheus::Registry emptyRegistry_;                  // served where there is no DNS discovery
   std::unique_ptr<admin::MetricsServer> metricsServer_; // none: the settings name no address
   net::Socket signals_;
   std::unique_ptr<peers::PeerTransport> peerTransport_;   // none: the deployment has no peers
