--- a/lab/event_player.h
+++ b/lab/event_player.h
@@ -37,9 +37,9 @@
   Fleet &fleet_;
   DnsServer *dns_;
   std::function<net::Task<>()> restartInstances_;
-  std::size_t nextServer_ = 0;   // of events that take each server in turn
-  double missingShare_ = 0;      // of the zone's servers, the first ones
-  std::string flappingServer_;   // left out of the zone at the moment; "": none
+  std::size_t nextServer_ = 0; // of events that take each server in turn
+  double missingShare_ = 0;    // of the zone's servers, the first ones
+  std::string flappingServer_; // left out of the zone at the moment; "": none
 };
 
 } // namespace myrtlehead::lab
--- a/lab/rule_checker.h
+++ b/lab/rule_checker.h
@@ -1,5 +1,5 @@
-// Checks a run against the service's rules: no request lost, answered twice or run twice, no late attempt at a
-// draining node, no cold node overloaded, exposure to a candidate build within its budget, no crash.
+// Checks a run against the service's rules: no request lost, answered twice or run twice, no late attempt at
+// a draining node, no cold node overloaded, exposure to a candidate build within its budget, no crash.
 #pragma once
 
 #include "lab/fleet.h"
@@ -19,8 +19,8 @@
               const std::vector<std::unique_ptr<LoadTool>> &loads)
       : sched_(sched), scenario_(scenario), fleet_(fleet), loads_(loads) {}
 
-  // Within one stage, attempts at candidate nodes stay under the free ones and the cap's share of the requests.
-  // Watches for as long as the run lasts.
+  // Within one stage, attempts at candidate nodes stay under the free ones and the cap's share of the
+  // requests. Watches for as long as the run lasts.
   net::Task<> watchExposure();
   void onInstanceExit(int exitCode) { failedExits_ += exitCode != 0; }
 
--- a/src/admin/metrics_server.cpp
+++ b/src/admin/metrics_server.cpp
@@ -8,46 +8,55 @@
 namespace myrtlehead::admin {
 
 namespace {
-constexpr int kMostOpen = 4;
-constexpr sched::Nanoseconds kWithin = 2'000'000'000; // for a request, and for reading its answer
+
+constexpr int kMaxConnections = 4;
+constexpr sched::Nanoseconds kRequestTimeout = 2'000'000'000; // with the answer
+constexpr sched::Nanoseconds kAcceptInterval =
+    2'000'000'000; // accepts again then even where nothing is readable
+
+std::string answerTo(const http::Head &request, prometheus::Registry &registry) {
+  const bool isKnown = request.target == "/metrics" && request.method == "GET";
+  const auto body = isKnown ? prometheus::TextSerializer().Serialize(registry.Collect()) : "unknown\n";
+  return std::string("HTTP/1.1 ") + (isKnown ? "200 OK" : "404 Not Found") +
+         "\r\nContent-Type: text/plain; version=0.0.4\r\nConnection: close\r\nContent-Length: " +
+         std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
 } // namespace
 
 MetricsServer::MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget,
-                             prometheus::Registry &registry, net::Address at)
-    : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenAt(sched, budget, at)) {}
+                             prometheus::Registry &registry, net::Address address)
+    : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenAt(sched, budget, address)) {}
 
 net::Task<> MetricsServer::accept() {
   for (;;) {
     auto socket = net::acceptNow(sched_, budget_, *listener_);
-    if (socket && open_ < kMostOpen)
+    if (socket && openConnections_ < kMaxConnections)
       sched_.spawn(serve(std::move(*socket)));
     else if (!socket)
-      co_await listener_->readable({sched_.now() + kWithin, nullptr});
+      co_await listener_->readable({sched_.now() + kAcceptInterval, nullptr});
   }
 }
 
+// One request, one answer; the connection closes behind it. What can't be parsed gets no answer.
 net::Task<> MetricsServer::serve(std::unique_ptr<net::Socket> socket) {
-  struct Open {
-    int &n;
-    ~Open() { --n; }
-  } open{++open_};
-  const net::Deadline until{sched_.now() + kWithin, nullptr};
+  struct ConnectionCount {
+    int &count;
+    ~ConnectionCount() { --count; }
+  } connectionCount{++openConnections_};
+  const net::Deadline deadline{sched_.now() + kRequestTimeout, nullptr};
   net::Buffer buffer;
   http::Head head;
   std::size_t size = 0;
   auto parsed = http::Parsed::more;
   while ((parsed = http::parseRequest(buffer.view(), head, size)) == http::Parsed::more) {
-    const auto cause = co_await socket->read(buffer, until);
-    if (cause != net::ErrorCode::none) co_return;
+    const auto error = co_await socket->read(buffer, deadline);
+    if (error != net::ErrorCode::none) co_return;
   }
   if (parsed == http::Parsed::bad) co_return;
-  const bool known = head.target == "/metrics" && head.method == "GET";
-  const auto body = known ? prometheus::TextSerializer().Serialize(registry_.Collect()) : "unknown\n";
-  auto out = std::string("HTTP/1.1 ") + (known ? "200 OK" : "404 Not Found") +
-             "\r\nContent-Type: text/plain; version=0.0.4\r\nConnection: close\r\nContent-Length: " +
-             std::to_string(body.size()) + "\r\n\r\n" + body;
-  const auto written = co_await socket->write(out, until);
-  if (written == net::ErrorCode::none) socket->endWriting();
+  const auto answer = answerTo(head, registry_);
+  const auto error = co_await socket->write(answer, deadline);
+  if (error == net::ErrorCode::none) socket->endWriting();
 }
 
 } // namespace myrtlehead::admin
--- a/src/admin/metrics_server.h
+++ b/src/admin/metrics_server.h
@@ -1,4 +1,4 @@
-// Where metrics are asked for: GET /metrics, in Prometheus' text format, version 0.0.4.
+// Serves metrics over HTTP: GET /metrics, in Prometheus' text format, version 0.0.4.
 #pragma once
 
 #include "base/net/socket.h"
@@ -13,10 +13,12 @@
 
 class MetricsServer {
 public:
-  // Throws std::system_error where the address can't be had.
+  // Listens at `address`; throws std::system_error where that can't be. All arguments must outlive the
+  // server.
   MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget, prometheus::Registry &registry,
-                net::Address at);
-  net::Task<> accept(); // for as long as the program lives
+                net::Address address);
+  // Accepts connections, a few at a time, for as long as the instance lives.
+  net::Task<> accept();
   net::Address address() const { return net::localAddress(*listener_); }
 
 private:
@@ -25,7 +27,7 @@
   net::DescriptorBudget &budget_;
   prometheus::Registry &registry_;
   std::unique_ptr<net::Socket> listener_;
-  int open_ = 0;
+  int openConnections_ = 0;
 };
 
 } // namespace myrtlehead::admin
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -1,5 +1,7 @@
 #include "control/discovery/endpoint_watch.h"
 
+#include "format/http/event_stream.h"
+
 #include <algorithm>
 
 namespace myrtlehead::discovery {
--- a/src/control/rollout/codec.cpp
+++ b/src/control/rollout/codec.cpp
@@ -1,5 +1,7 @@
 #include "control/rollout/codec.h"
 
+#include "format/http/xml.h"
+
 #include <charconv>
 #include <cmath>
 
--- a/src/control/rollout/rollout_client.h
+++ b/src/control/rollout/rollout_client.h
@@ -4,6 +4,7 @@
 #include "base/http_client/exchange.h"
 #include "base/http_client/persistent_connection.h"
 #include "control/rollout/codec.h"
+#include "format/http/event_stream.h"
 #include "router/router.h"
 
 #include <map>
--- a/src/format/http/http.h
+++ b/src/format/http/http.h
@@ -1,24 +1,26 @@
-// HTTP/1.1 as far as it is used here: heads and bodies read from bytes, requests written to them, and what
-// bodies hold (forms, event streams, XML elements). No sockets.
+// HTTP/1.1 as far as it is used here: heads and bodies parsed from bytes, requests written to them. No
+// sockets.
 #pragma once
 
+#include "format/http/form.h"
+
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <utility>
-#include <vector>
 
 namespace myrtlehead::http {
 
+// more: not all of it is there yet; whole: it was parsed; bad: it can't be, whatever follows.
 enum class Parsed { more, whole, bad };
 
 struct Head {
-  std::string method, target;                              // of a request
-  int status = 0;                                          // of an answer
-  std::vector<std::pair<std::string, std::string>> fields; // names in lower case
-  std::string_view field(std::string_view name) const;
+  std::string method;                                  // of a request
+  std::string target;                                  // of a request
+  int status = 0;                                      // of a response
+  Fields fields;                                       // names in lower case
+  std::string_view field(std::string_view name) const; // "" where there is none
 };
-// `size`: what the head takes, its blank line included.
+// Parse the head at the front of `in`. `size`: its bytes, with the blank line behind it.
 Parsed parseRequest(std::string_view in, Head &out, std::size_t &size);
 Parsed parseAnswer(std::string_view in, Head &out, std::size_t &size);
 
@@ -26,37 +28,21 @@
 class Body {
 public:
   explicit Body(const Head &head, bool request = false);
-  Body() = default;
-  // Takes what it can off the front of `in`, appends the content; `used`: how much was taken.
+  Body() = default; // an empty one
+  // Takes what it can off the front of `in` and appends it to `content`. `used`: how many bytes of `in`. A
+  // body up to the connection's end is never whole.
   Parsed take(std::string_view in, std::string &content, std::size_t &used);
-  bool untilEnd() const { return form_ == toEnd; }
+  bool untilEnd() const { return form_ == toEnd; } // of the connection
 
 private:
   Parsed chunkLine(std::string_view in, std::size_t &used);
-  enum Form { length, chunked, toEnd, broken } form_ = length;
+  Parsed takeChunks(std::string_view in, std::string &content, std::size_t &used);
+  enum Form { length, chunked, toEnd, malformed } form_ = length;
   enum Place { sizeLine, data, dataEnd, trailer } place_ = sizeLine;
-  std::uint64_t left_ = 0;
-};
-
-using Fields = std::vector<std::pair<std::string, std::string>>;
-std::string_view value(const Fields &fields, std::string_view name);
-bool parseForm(std::string_view text, Fields &out); // a=b&c=d, percent-encoded
-std::string writeForm(const Fields &fields);
-
-// One event of an event stream, taken off the front of `text`. unreadable: a line that no event stream has,
-// or one that does not end.
-struct Event {
-  std::string name, data;
+  std::uint64_t left_ = 0; // bytes of the body or the chunk
 };
-enum class Taken { none, event, unreadable };
-Taken takeEvent(std::string &text, Event &out);
-
-// A line taken off the front of `text`, without its end; false: none is whole yet.
-bool takeLine(std::string &text, std::string &line);
-
-// Every element that holds text alone, in the order of the document. False: not well-formed.
-bool parseXml(std::string_view text, Fields &leaves);
 
+// With a form as its body, where one is given.
 std::string writeRequest(std::string_view method, std::string_view target, std::string_view host,
                          std::string_view form = {});
 
--- a/src/format/json/json.h
+++ b/src/format/json/json.h
@@ -1,4 +1,4 @@
-// JSON (RFC 8259): a value read from text. Objects keep the order of their text.
+// JSON (RFC 8259), parsed strictly. Objects keep the order of their fields in the text.
 #pragma once
 
 #include <optional>
@@ -11,17 +11,19 @@
 
 struct Value {
   enum Kind { null, boolean, number, string, array, object } kind = null;
-  bool truth = false;
-  double real = 0;
-  std::string text; // a string's, or a number's as it was written
-  std::vector<Value> items;
-  std::vector<std::pair<std::string, Value>> fields;
+  bool truth = false;                                // of a boolean
+  double real = 0;                                   // of a number
+  std::string text;                                  // of a string, or of a number as it was written
+  std::vector<Value> items;                          // of an array
+  std::vector<std::pair<std::string, Value>> fields; // of an object
 
-  const Value *find(std::string_view name) const; // the last of that name
+  // The last field of that name; nullptr: there is none, or this is no object.
+  const Value *find(std::string_view name) const;
   bool operator==(const Value &) const = default;
 };
 
-// nullopt: not one whole JSON value, or nested too deep; `error` then says why.
+// nullopt: the text is not exactly one JSON value, or is nested too deep; `error`, where given, then says why
+// and ends in "at byte N".
 std::optional<Value> parse(std::string_view text, std::string *error = nullptr);
 
 } // namespace myrtlehead::json
--- a/src/format/pg/statement.h
+++ b/src/format/pg/statement.h
@@ -1,4 +1,4 @@
-// A client's statement: what kind it is, and the names and values of the comment that travels with a request.
+// A client's statement: what kind it is, and the fields of the comment that travels with a request.
 #pragma once
 
 #include <cstdint>
@@ -9,28 +9,34 @@
 
 struct Statement {
   enum Kind {
-    req,       // to be passed to an endpoint
+    req,       // to be forwarded to an endpoint
     empty,     // nothing but blanks and comments
     session,   // SET, RESET, DISCARD: answered here, without effect
     ping,      // SELECT 1
-    malformed, // answered with `complaint`
+    malformed, // answered with an error of `code` and `complaint`
   } kind = malformed;
   std::string_view text;
-  std::string_view verb;              // session: its first word
-  std::string_view id, route, record; // record: the key of the row
-  std::uint64_t key = 0;              // of the record, as a number
+  std::string_view verb;   // session: its first word, in lower case
+  std::string_view id;     // of the request
+  std::string_view route;  // its name
+  std::string_view record; // the key of the row, as it stands in quotes
+  std::uint64_t key = 0;   // of the row, as a number
   std::int64_t patienceMs = 0;
-  bool repeat = false;
-  std::size_t patienceAt = 0, patienceSize = 0; // where d's digits stand
-  const char *code = "42601", *complaint = "";
+  bool repeat = false; // the client has sent this request before
+  // Where the digits of the patience stand in `text`.
+  std::size_t patienceAt = 0;
+  std::size_t patienceSize = 0;
+  const char *code = "42601"; // SQLSTATE
+  const char *complaint = "";
 };
 
+// `sql` must outlive the statement, which refers to it.
 Statement parseStatement(std::string_view sql);
 
-// The same statement, standing in `copy`, which has the characters of its text.
-Statement movedTo(const Statement &s, std::string_view copy);
+// The same statement, referring to `copy`, which has the characters of its text.
+Statement movedTo(const Statement &statement, std::string_view copy);
 
-// The statement with another patience; nothing else of it changes.
-std::string withPatience(const Statement &s, std::int64_t ms);
+// The text with another patience; nothing else of it changes.
+std::string withPatience(const Statement &statement, std::int64_t ms);
 
 } // namespace myrtlehead::pg
