--- a/lab/log_tally.h
+++ b/lab/log_tally.h
@@ -13,7 +13,7 @@
 
 // A line of an instance's log, in the text form.
 struct LogLine {
-  std::string kind;      // package and message, figures left out: "guard: votes on on build # stage #"
+  std::string kind; // package and message, figures left out: "guard: votes to promote build # at stage #"
   std::int64_t time = 0; // Unix time, s
 };
 // nullopt: it is no line of a log.
--- a/src/app/bootstrap/config_paths.cpp
+++ b/src/app/bootstrap/config_paths.cpp
@@ -7,7 +7,6 @@
 
 namespace {
 
-constexpr Nanoseconds kMicrosecond = 1000;
 constexpr double kMaxMicroseconds = 1e15;
 
 double parseNumber(const std::string &path, std::string_view text) {
--- a/src/app/bootstrap/deployment_decoder.h
+++ b/src/app/bootstrap/deployment_decoder.h
@@ -3,6 +3,7 @@
 #pragma once
 
 #include "app/bootstrap/config_paths.h"
+#include "policy/deployment.h"
 
 namespace myrtlehead::bootstrap {
 
--- a/src/format/http/event_stream.h
+++ b/src/format/http/event_stream.h
@@ -10,7 +10,8 @@
   std::string data; // its lines joined by '\n'
 };
 
-// none: no event is there in full; unreadable: a line that no event stream has, or an event that does not end.
+// none: no event is there in full; unreadable: a line that no event stream has, or an event that does not
+// end.
 enum class Taken { none, event, unreadable };
 // Takes the first event that has data.
 Taken takeEvent(std::string &text, Event &out);
--- a/src/format/http/form.cpp
+++ b/src/format/http/form.cpp
@@ -38,7 +38,7 @@
   std::string out;
   for (const char c : in) {
     const bool isPlain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                       c == '-' || c == '.' || c == '_' || c == '~';
+                         c == '-' || c == '.' || c == '_' || c == '~';
     const auto byte = static_cast<unsigned char>(c);
     if (isPlain)
       out += c;
