--- /dev/null
+++ b/tests/pg_message_test.cpp
@@ -0,0 +1,101 @@
+// PostgreSQL's messages: whole, cut at every byte, and malformed.
+#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include <doctest/doctest.h>
+
+#include "fixtures.h"
+#include "format/pg/message.h"
+
+
+using namespace myrtlehead;
+using namespace std::string_literals;
+
+TEST_CASE("a message is parsed only once all of it is there") {
+  std::string in;
+  pg::addQuery(in, "SELECT 1");
+  pg::Message message;
+  for (std::size_t n = 0; n < in.size(); ++n)
+    REQUIRE(pg::parseMessage(std::string_view(in).substr(0, n), message) == pg::Parsed::more);
+  const auto size = in.size();
+  in += 'Z';
+  REQUIRE(pg::parseMessage(in, message) == pg::Parsed::whole);
+  REQUIRE(message.type == 'Q');
+  REQUIRE(message.body == "SELECT 1\0"s);
+  REQUIRE(message.size == size);
+  REQUIRE(pg::parseMessage("Q\0\0\0\3"s, message) == pg::Parsed::bad);         // shorter than its own length
+  REQUIRE(pg::parseMessage("Q\xff\xff\xff\xff"s, message) == pg::Parsed::bad); // negative
+  REQUIRE(pg::parseMessage("Q\x7f\0\0\0"s, message) == pg::Parsed::bad);       // oversized
+}
+
+TEST_CASE("the first packet of a connection is told by its code") {
+  std::string in;
+  pg::addStartup(in, "svc", "main");
+  pg::Startup s;
+  for (std::size_t n = 0; n < in.size(); ++n)
+    REQUIRE(pg::parseStartup(std::string_view(in).substr(0, n), s) == pg::Parsed::more);
+  REQUIRE(pg::parseStartup(in, s) == pg::Parsed::whole);
+  REQUIRE(s.kind == pg::Opening::startup);
+  REQUIRE(s.minor == 0);
+  REQUIRE(s.size == in.size());
+  const auto kind = [](const std::string &text) {
+    pg::Startup out;
+    return pg::parseStartup(text, out) == pg::Parsed::whole ? out.kind : pg::Opening::unknown;
+  };
+  REQUIRE(kind("\0\0\0\10\4\xd2\x16\x2f"s) == pg::Opening::encryption);
+  REQUIRE(kind("\0\0\0\10\4\xd2\x16\x30"s) == pg::Opening::encryption); // GSSAPI
+  REQUIRE(kind("\0\0\0\20\4\xd2\x16\x2e\0\0\0\1\0\0\0\2"s) == pg::Opening::cancel);
+  REQUIRE(kind("\0\0\0\10\0\2\0\0"s) == pg::Opening::unknown);
+  REQUIRE(pg::parseStartup("GET / HT", s) == pg::Parsed::bad);
+  REQUIRE(pg::parseStartup("\0\0\0\0\0\0\0\0"s, s) == pg::Parsed::bad);
+}
+
+TEST_CASE("an ErrorResponse carries its SQLSTATE") {
+  std::string out;
+  pg::addError(out, {"ERROR", "53300", "too busy", "120"});
+  pg::Message message;
+  REQUIRE(pg::parseMessage(out, message) == pg::Parsed::whole);
+  REQUIRE(message.type == 'E');
+  REQUIRE(pg::errorCode(message.body) == "53300");
+  REQUIRE(message.body.find("D120"s) != std::string_view::npos);
+  REQUIRE(pg::errorCode("") == "");
+  REQUIRE(pg::errorCode("C53") == "");
+  REQUIRE(pg::errorCode("\0"s) == "");
+}
+
+// Cut at every byte; what may not come is rejected as early as the bytes show it.
+TEST_CASE("a reply has one order of messages") {
+  const auto row = StandIn::row("value", "util=1");
+  const auto parts = [](std::string_view in) {
+    std::string out;
+    pg::Reply reply;
+    pg::Message message;
+    for (;;) {
+      const auto part = reply.next(in, message);
+      out += "-atdcezi!"[part];
+      if (part == pg::Reply::more || part == pg::Reply::bad) return out;
+      in.remove_prefix(message.size);
+    }
+  };
+  REQUIRE(parts(row) == "tdcaz-");
+  for (std::size_t n = 0; n < row.size(); ++n) REQUIRE(parts(row.substr(0, n)).back() == '-');
+  std::string error, wide, none, twice;
+  pg::addError(error, {"ERROR", "XX000", "no"});
+  REQUIRE(parts(error) == "e-");
+  REQUIRE(parts(row + row) == "tdcaztdcaz-");
+  const auto at = row.find('D'), end = row.find('C', at);
+  REQUIRE(parts(row.substr(0, end) + row.substr(at)) == "td!"); // two rows
+  REQUIRE(parts(row.substr(at)) == "!");
+  REQUIRE(parts(row.substr(0, at) + row.substr(end)) == "t!"); // none described
+  REQUIRE(parts("D") == "!");
+  REQUIRE(parts("HTTP/1.1 200") == "!");
+  REQUIRE(parts("Z\0\0\0\5I"s) == "!");
+  REQUIRE(parts(row.substr(0, at) + "D\xb2\xd0\x5e\0"s) == "t!"); // 3 GB, rejected by its header
+  auto odd = row;
+  odd[at + 10] ^= 1; // the value's length
+  REQUIRE(parts(odd) == "t!");
+  REQUIRE(parts("E\0\0\0\6ab"s) == "!");
+  REQUIRE(parts("E\0\0\0\5\0"s) == "!");
+  std::string notice, many;
+  pg::addMessage(notice, 'N', "x");
+  for (int i = 0; i < 40; ++i) many += notice;
+  REQUIRE(parts(many).back() == '!');
+}
--- /dev/null
+++ b/tests/pg_statement_test.cpp
@@ -0,0 +1,62 @@
+// Clients' statements: requests, the other kinds, and malformed ones.
+#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include <doctest/doctest.h>
+
+#include "format/pg/statement.h"
+
+
+using namespace myrtlehead;
+
+TEST_CASE("a request is parsed with the fields of its comment") {
+  const std::string sql = "SELECT v FROM records WHERE k = '7f3a9c21e0b4d655' /* id=9b1f,c=basket,d=480 */";
+  const auto s = pg::parseStatement(sql);
+  REQUIRE(s.kind == pg::Statement::req);
+  REQUIRE(s.id == "9b1f");
+  REQUIRE(s.route == "basket");
+  REQUIRE(s.patienceMs == 480);
+  REQUIRE(s.key == 0x7f3a9c21e0b4d655);
+  REQUIRE(!s.repeat);
+  REQUIRE(pg::withPatience(s, 37) ==
+          "SELECT v FROM records WHERE k = '7f3a9c21e0b4d655' /* id=9b1f,c=basket,d=37 */");
+  const auto again = pg::parseStatement("insert into records (k, v) values ('a;b''c', '\\x9f') returning v; "
+                                        "/* id=1,c=order,d=9,k=5c,r=1,h=300 */ ; ");
+  REQUIRE(again.kind == pg::Statement::req);
+  REQUIRE(again.repeat);
+  REQUIRE(again.record == "a;b''c");
+  for (std::size_t n = 0; n < sql.size(); ++n) // no part of it is forwarded
+    REQUIRE(pg::parseStatement(std::string_view(sql).substr(0, n)).kind != pg::Statement::req);
+}
+
+TEST_CASE("other statements are told by their kind, all else is malformed") {
+  const auto kind = [](std::string_view sql) { return pg::parseStatement(sql).kind; };
+  REQUIRE(kind("") == pg::Statement::empty);
+  REQUIRE(kind(" ; /* c */ -- x\n;") == pg::Statement::empty);
+  REQUIRE(kind("set application_name = 'x'") == pg::Statement::session);
+  REQUIRE(kind("DISCARD ALL;") == pg::Statement::session);
+  REQUIRE(kind("select  1 ;") == pg::Statement::ping);
+  for (const auto *bad : {"SELECT v FROM records WHERE k = '7f' /* id=a b,c=a,d=4 */",
+                          "SELECT v FROM records WHERE k = '7f' /* id=1,c=a,d=4,k= */",
+                          "SELECT v FROM records /* id=1,c=a,d=4 */",
+                          "SELECT v FROM records WHERE k = 7 /* id=1,c=a,d=4 */",
+                          "SELECT v FROM records WHERE k = '7f' OR 1 /* id=1,c=a,d=4 */",
+                          "SELECT v FROM records WHERE k = '7f' /* a */ /* id=1,c=a,d=4 */",
+                          "INSERT INTO records (k, v) VALUES ('a') RETURNING v /* id=1,c=a,d=4 */",
+                          "BEGIN",
+                          "SELECT 1; SELECT 2",
+                          "SELECT 'a",
+                          "SELECT 1 /* id=1,c=a,d=5",
+                          "SELECT v /* id=1,c=a */",
+                          "SELECT v /* id=1,c=a,d=x */",
+                          "SELECT v /* id=1,c=a,d=-4 */",
+                          "SELECT v /* id=,c=a,d=4 */",
+                          "SELECT v /* id=1,c=a,d=4,d=5 */",
+                          "SELECT v /* id=1,c=a,d=99999999999999999999 */",
+                          "SELECT v /* id=1,,c=a,d=4 */",
+                          "SELECT v FROM records",
+                          "SELECT '\xff' /* id=1,c=a,d=4 */",
+                          "SELECT '\xed\xa0\x80' /* id=1,c=a,d=4 */",
+                          "SELECT v /* id=1,c=a,d=4 */; DELETE FROM records",
+                          "SETTING",
+                          "SELECT '/* id=1,c=a,d=4 */'"})
+    REQUIRE(kind(bad) == pg::Statement::malformed);
+}
