--- a/tests/json_parser_test.cpp
+++ b/tests/json_parser_test.cpp
@@ -4,7 +4,6 @@
 
 #include "format/json/json.h"
 
-
 using namespace myrtlehead;
 
 TEST_CASE("JSON is parsed strictly, and every other text is rejected") {
--- a/tests/pg_message_test.cpp
+++ b/tests/pg_message_test.cpp
@@ -5,7 +5,6 @@
 #include "fixtures.h"
 #include "format/pg/message.h"
 
-
 using namespace myrtlehead;
 using namespace std::string_literals;
 
--- a/tests/pg_statement_test.cpp
+++ b/tests/pg_statement_test.cpp
@@ -4,7 +4,6 @@
 
 #include "format/pg/statement.h"
 
-
 using namespace myrtlehead;
 
 TEST_CASE("a request is parsed with the fields of its comment") {
