--- a/lab/histories.cpp
+++ b/lab/histories.cpp
@@ -76,7 +76,9 @@
     membership.leaseSettings.executionGrace = 500 * kMillisecond;
     membership.leaseSettings.baseBackoff = 50 * kMillisecond;
     for (std::size_t i = 0; i < n; ++i) clockOffsets.push_back(any(-100, 100) * kMillisecond);
-    sched.onUncaughtException = [this](const char *what) { result.violations.push_back(std::string("thrown: ") + what); };
+    sched.onUncaughtException = [this](const char *what) {
+      result.violations.push_back(std::string("thrown: ") + what);
+    };
   }
   Nanoseconds any(Nanoseconds from, Nanoseconds to) {
     return std::uniform_int_distribution<Nanoseconds>(from, to)(random);
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -100,7 +100,8 @@
                                       subsetting::Subset(1, 0, 0));
   std::random_device device;
   const auto seed = (std::uint64_t{device()} << 32) | device();
-  dns_discovery::DnsDiscovery discovery(sched, budget, merge, settings, seed, logs.forPackage("names"), metrics);
+  dns_discovery::DnsDiscovery discovery(sched, budget, merge, settings, seed, logs.forPackage("names"),
+                                        metrics);
   discovery.onChange = [&] { merge.merged(sched.now()); };
   sched.spawn(discovery.run(dns_discovery::FirstLookups::immediate));
   sched.spawn(haltWhenSettled(sched, discovery, sched.now() + timeout));
--- a/src/app/settings/cluster_settings.cpp
+++ b/src/app/settings/cluster_settings.cpp
@@ -19,9 +19,9 @@
 int lineOf(const toml::table &table) { return static_cast<int>(table.source().begin.line); }
 
 // Reads the key's address into `out`; false: it is missing or is none.
-bool readAddress(Reader &reader, const char *key, net::Address &out) {
+bool readAddress(TableReader &reader, const char *key, net::Address &out) {
   bool isRead = false;
-  reader.word(key, kExpectedAddress, [&](const std::string &text) {
+  reader.string(key, kExpectedAddress, [&](const std::string &text) {
     const auto address = net::parseAddress(text);
     if (address) out = *address;
     return isRead = address.has_value();
@@ -31,12 +31,12 @@
 
 // One [[fleet.member]]; its name and address must be no other member's.
 void readMember(const toml::table &in, const std::string &path, cluster::Membership &out,
-                std::vector<Fault> &faults) {
+                std::vector<SettingsFault> &faults) {
   cluster::Member member;
   bool hasAddress = false;
   {
-    Reader reader(in, path, faults);
-    reader.word("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
+    TableReader reader(in, path, faults);
+    reader.string("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
       member.name = text;
       return isMemberName(text);
     });
@@ -52,21 +52,21 @@
   out.members.push_back(std::move(member));
 }
 
-void readMembers(Reader &reader, cluster::Membership &out, std::vector<Fault> &faults) {
+void readMembers(TableReader &reader, cluster::Membership &out, std::vector<SettingsFault> &faults) {
   const auto *node = reader.find("member");
   if (node == nullptr) return;
   const auto *list = node->as_array();
   const bool isValid = list != nullptr && !list->empty() && list->size() <= kMaxMembers &&
                        list->is_homogeneous<toml::table>();
   if (!isValid) {
-    reader.fault(*node, "member", "1 to 1000 tables [[fleet.member]]");
+    reader.addFault(*node, "member", "1 to 1000 tables [[fleet.member]]");
     return;
   }
   for (std::size_t i = 0; i < list->size(); ++i)
     readMember(*list->get_as<toml::table>(i), "fleet.member[" + std::to_string(i) + "].", out, faults);
 }
 
-void readLimits(Reader &reader, cluster::Membership &out) {
+void readLimits(TableReader &reader, cluster::Membership &out) {
   auto &leases = out.leaseSettings;
   reader.duration("claim", 500 * kMillisecond, 600 * kSecond, leases.leaseDuration);
   reader.duration("drift", 0, 60 * kSecond, leases.maxClockSkew);
@@ -74,14 +74,14 @@
   reader.duration("keep_for", 60 * kSecond, 30 * kDay, leases.retention);
   reader.duration("pause_first", kMillisecond, 60 * kSecond, leases.baseBackoff);
   reader.duration("pause_most", kMillisecond, 3600 * kSecond, leases.maxBackoff);
-  reader.whole("starts", 1, 100, leases.maxStarts);
-  reader.whole("queue", 1, 100'000, out.maxOpenJobs);
-  reader.whole("slots", 0, 1000, out.maxRunningJobs);
+  reader.integer("starts", 1, 100, leases.maxStarts);
+  reader.integer("queue", 1, 100'000, out.maxOpenJobs);
+  reader.integer("slots", 0, 1000, out.maxRunningJobs);
 }
 
 // What must be there, and what must hold between keys.
 void checkMembership(const toml::table &in, const cluster::Membership &membership, bool hasListenAddress,
-                     std::vector<Fault> &faults) {
+                     std::vector<SettingsFault> &faults) {
   const int line = lineOf(in);
   if (!hasListenAddress && !in.contains("listen"))
     faults.push_back({line, "fleet.listen", "expected, but missing"});
@@ -95,18 +95,18 @@
 
 } // namespace
 
-void readFleet(const toml::table &in, Settings &out, std::vector<Fault> &faults) {
+void readClusterSettings(const toml::table &in, Settings &out, std::vector<SettingsFault> &faults) {
   cluster::Membership membership;
   std::string ownName;
   bool hasListenAddress = false;
   {
-    Reader reader(in, "fleet.", faults);
-    reader.word("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
+    TableReader reader(in, "fleet.", faults);
+    reader.string("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
       ownName = text;
       return isMemberName(text);
     });
     hasListenAddress = readAddress(reader, "listen", membership.listenAddress);
-    reader.word("folder", "the path of a folder that lasts", [&](const std::string &text) {
+    reader.string("folder", "the path of a folder that lasts", [&](const std::string &text) {
       membership.storeFolder = text;
       return !text.empty();
     });
@@ -119,7 +119,7 @@
     faults.push_back(
         {lineOf(in), "fleet.name", "expected the name of one of [[fleet.member]], found '" + ownName + "'"});
   membership.ownIndex = static_cast<std::uint32_t>(own - membership.members.begin());
-  out.fleet = std::move(membership);
+  out.cluster = std::move(membership);
 }
 
 } // namespace myrtlehead::settings
