--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -77,7 +77,7 @@
   events_ = std::make_unique<EventPlayer>(sched_, scenario_, *fleet_, dns_.get(),
                                           [this] { return restartInstances(); });
   rules_ = std::make_unique<RuleChecker>(sched_, scenario_, *fleet_, loads_);
-  sched_.onThrow = [this](const char *what) {
+  sched_.onUncaughtException = [this](const char *what) {
     failure_ = what;
     sched_.halt();
   };
@@ -181,7 +181,7 @@
   if (!failure_.empty()) throw std::runtime_error(failure_);
   auto out = makeReport(
       {scenario_, *fleet_, dns_.get(), loads_, *rules_, startedAt_, cpuSeconds_, residentKb_});
-  sched_.endAll();
+  sched_.destroyAllTasks();
   return out;
 }
 
--- a/src/admin/metrics_server.cpp
+++ b/src/admin/metrics_server.cpp
@@ -26,15 +26,16 @@
 
 MetricsServer::MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget,
                              prometheus::Registry &registry, net::Address address)
-    : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenAt(sched, budget, address)) {}
+    : sched_(sched), budget_(budget), registry_(registry), listener_(net::listenTcp(sched, budget, address)) {
+}
 
 net::Task<> MetricsServer::accept() {
   for (;;) {
-    auto socket = net::acceptNow(sched_, budget_, *listener_);
+    auto socket = net::tryAccept(sched_, budget_, *listener_);
     if (socket && openConnections_ < kMaxConnections)
       sched_.spawn(serve(std::move(*socket)));
     else if (!socket)
-      co_await listener_->readable({sched_.now() + kAcceptInterval, nullptr});
+      co_await listener_->waitReadable({sched_.now() + kAcceptInterval, nullptr});
   }
 }
 
@@ -56,7 +57,7 @@
   if (parsed == http::Parsed::bad) co_return;
   const auto answer = answerTo(head, registry_);
   const auto error = co_await socket->write(answer, deadline);
-  if (error == net::ErrorCode::none) socket->endWriting();
+  if (error == net::ErrorCode::none) socket->shutdownWrite();
 }
 
 } // namespace myrtlehead::admin
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -57,9 +57,10 @@
 Instance::Instance(const ServeOptions &options, const bootstrap::BootstrapConfig &config,
                    const settings::Settings &settings, int signalDescriptor)
     : options_(options), config_(config), settings_(settings),
-      logs_(STDERR_FILENO, settings.logForm, settings.logLevels), log_(logs_.of("program")),
-      guardLog_(logs_.of("guard")), catalogLog_(logs_.of("catalog")), platformLog_(logs_.of("platform")),
-      nodesLog_(logs_.of("nodes")), clientsLog_(logs_.of("clients")),
+      logs_(STDERR_FILENO, settings.logForm, settings.logLevels), log_(logs_.forPackage("program")),
+      guardLog_(logs_.forPackage("guard")), catalogLog_(logs_.forPackage("catalog")),
+      platformLog_(logs_.forPackage("platform")), nodesLog_(logs_.forPackage("nodes")),
+      clientsLog_(logs_.forPackage("clients")),
       budget_(allowedDescriptors(config.maxDescriptors) - kReservedDescriptors),
       router_(sched_, config.deployment, config.seed, guardLog_),
       endpointWatch_(sched_, budget_, router_, catalogLog_, config.discoveryAddress, config.zoneNames,
@@ -68,9 +69,9 @@
                      config.controlCallTimeout),
       connectionPool_(sched_, budget_, nodesLog_, config.connectTimeout, config.idleTimeout,
                       config.loadReportNames, config.memoryBytes / kLargeMessageMemoryDivisor),
-      dns_(settings.dns.sets.empty()
-               ? nullptr
-               : std::make_unique<DnsParts>(sched_, budget_, router_, config, settings, logs_.of("names"))),
+      dns_(settings.dns.sets.empty() ? nullptr
+                                     : std::make_unique<DnsParts>(sched_, budget_, router_, config, settings,
+                                                                  logs_.forPackage("names"))),
       metricsServer_(!settings.metricsAddress ? nullptr
                                               : std::make_unique<admin::MetricsServer>(
                                                     sched_, budget_, dns_ ? dns_->registry : emptyRegistry_,
@@ -80,7 +81,9 @@
                                                  : std::make_unique<peers::PeerTransport>(
                                                        sched_, budget_, router_, config.peerListenAddress,
                                                        config.peerAddresses, config.allPeersAddress)) {
-  sched_.onThrow = [this](const char *what) { log_.error("a coroutine ended early", {{"what", what}}); };
+  sched_.onUncaughtException = [this](const char *what) {
+    log_.error("a coroutine ended early", {{"what", what}});
+  };
   applyKnownState();
   clusterMember_ = makeClusterMember();
   listener_.emplace(sched_, budget_, router_, connectionPool_, clientsLog_, config.listenAddress,
@@ -91,7 +94,7 @@
 
 // The endpoint list and the rollout's state that the configuration brings along.
 void Instance::applyKnownState() {
-  if (hasKnownEndpoints(config_) && !endpointWatch_.start(config_.knownEndpoints))
+  if (hasKnownEndpoints(config_) && !endpointWatch_.loadKnownList(config_.knownEndpoints))
     throw bootstrap::ConfigError("the configuration's 'known' is no list of nodes");
   if (const auto state = rollout::readRolloutState(config_.rolloutState))
     router_.onRolloutState(*state);
@@ -105,16 +108,16 @@
   for (const auto &route : config_.deployment.routes) routes.kinds.push_back(route.idempotency);
   return std::make_unique<cluster::ClusterMember>(
       sched_, budget_, router_, connectionPool_, *settings_.cluster, std::move(routes), config_.routeTimeouts,
-      unixTimeAtZero(sched_.now()), config_.seed + kClusterSeedOffset, logs_.of("fleet"));
+      unixTimeAtZero(sched_.now()), config_.seed + kClusterSeedOffset, logs_.forPackage("fleet"));
 }
 
 // The order matters: the scheduler starts the tasks in it.
 void Instance::spawnTasks() {
   sched_.spawn(router_.run());
   sched_.spawn(endpointWatch_.run());
-  sched_.spawn(rolloutClient_.keepOpen());
+  sched_.spawn(rolloutClient_.keepConnectionOpen());
   sched_.spawn(rolloutClient_.sendVotes());
-  sched_.spawn(rolloutClient_.readBulletin());
+  sched_.spawn(rolloutClient_.followEventStream());
   sched_.spawn(connectionPool_.sweep());
   if (peerTransport_) {
     sched_.spawn(peerTransport_->send());
@@ -139,7 +142,7 @@
                                {"at", net::text(listener_->address())}});
   sched_.run();
   if (dns_) dns_->discovery.saveNow();
-  sched_.endAll(); // coroutines refer to the parts, so they end first
+  sched_.destroyAllTasks(); // coroutines refer to the parts, so they end first
 }
 
 } // namespace myrtlehead::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -71,7 +71,8 @@
 
 int serve(CommandLine &line) {
   if (!line.logLevels.empty()) line.serve.logLevels = parseLevels(line.logLevels);
-  if (!line.logForm.empty()) line.serve.logForm = line.logForm == "json" ? log::Form::json : log::Form::text;
+  if (!line.logForm.empty())
+    line.serve.logForm = line.logForm == "json" ? log::Format::json : log::Format::text;
   if (line.serve.configPath.empty())
     throw CLI::RequiredError("--config, or PROXY_CONFIG in the environment,");
   app::serve(line.serve);
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -38,7 +38,7 @@
     return log.error("the new settings are not applied",
                      {{"why", settings::text(path, read.faults.front())}});
   warnOfRestart(settings::needsRestart(parts.startedSettings, read.settings), log);
-  if (!parts.options.logLevels) parts.logs.take(read.settings.logLevels);
+  if (!parts.options.logLevels) parts.logs.setLevels(read.settings.logLevels);
   if (parts.dnsDiscovery != nullptr) parts.dnsDiscovery->serversMoved(read.settings.dns.servers);
 }
 
--- a/src/app/serve.h
+++ b/src/app/serve.h
@@ -13,7 +13,7 @@
   std::string configPath;               // the platform's configuration, in JSON
   std::string settingsPath;             // the installation's settings, in TOML; "": none
   std::optional<log::Levels> logLevels; // override those of the settings
-  std::optional<log::Form> logForm;     // overrides that of the settings
+  std::optional<log::Format> logForm;   // overrides that of the settings
 };
 
 // Returns after a graceful shutdown. Throws what keeps it from serving (ConfigError, std::system_error), with
--- a/src/app/settings/settings.cpp
+++ b/src/app/settings/settings.cpp
@@ -22,7 +22,7 @@
                   return levels.has_value();
                 });
   reader.string("form", "text or json", [&](const std::string &text) {
-    out.logForm = text == "json" ? log::Form::json : log::Form::text;
+    out.logForm = text == "json" ? log::Format::json : log::Format::text;
     return text == "json" || text == "text";
   });
 }
--- a/src/app/settings/settings.h
+++ b/src/app/settings/settings.h
@@ -15,7 +15,7 @@
 
 struct Settings {
   log::Levels logLevels;
-  log::Form logForm = log::Form::text;
+  log::Format logForm = log::Format::text;
   std::optional<net::Address> metricsAddress; // where metrics are served; none: nowhere
   std::string stateFolder;                    // "": no state is stored
   dns_discovery::DnsSettings dns;
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -24,7 +24,7 @@
     signalfd_siginfo info{};
     const auto bytesRead = read(signals.fd(), &info, sizeof info);
     if (bytesRead != sizeof info)
-      co_await signals.readable({});
+      co_await signals.waitReadable({});
     else if (info.ssi_signo == SIGHUP)
       reload.request();
     else
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -84,8 +84,8 @@
   }
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->endpoint;
-    gossip_.finished(endpoint.fingerprint, outcome);
-    endpoint.health.suspectUntilByPeers = gossip_.doubtedUntil(endpoint.fingerprint);
+    gossip_.onOutcome(endpoint.fingerprint, outcome);
+    endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
   return toAttempt(context, policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
@@ -107,9 +107,9 @@
 }
 
 sched::Task<> Router::nextListRequest() {
-  while (now() < subscription_.callAt())
-    co_await sched_.wait(listRequestChanged_, {subscription_.callAt(), nullptr});
-  subscription_.called(now());
+  while (now() < subscription_.nextCallAt())
+    co_await sched_.wait(listRequestChanged_, {subscription_.nextCallAt(), nullptr});
+  subscription_.onCallSent(now());
 }
 
 UpstreamEndpoint &Router::endpointNamed(const std::string &name) {
@@ -196,7 +196,7 @@
                            before.state != after.state || known.address != entry.address;
     if (!known.isReady || isChanged) {
       ++known.version;
-      gossip_.forget(known.endpoint->fingerprint);
+      gossip_.onEndpointReplaced(known.endpoint->fingerprint);
       known.endpoint->health.suspectUntilByPeers = 0;
     }
     known.address = entry.address;
@@ -211,21 +211,20 @@
   runDueTasks();
 }
 
-void Router::onListMessage(bool isCurrentPlace) {
-  subscription_.line(isCurrentPlace, now(), drawForList());
+void Router::onListMessage(MessageSource source) {
+  subscription_.onMessage(source, now(), drawForList());
   listRequestChanged_.notify();
 }
 
-void Router::onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others,
-                          bool isLast) {
+void Router::onListClosed(CallEnd end, OtherCalls others, bool isLast) {
   if (merge_ != nullptr && isLast) merge_->listFailed();
-  subscription_.ended(how, others, now(), drawForList());
+  subscription_.onClosed(end, others, now(), drawForList());
   listRequestChanged_.notify();
   runDueTasks();
 }
 
 void Router::onDiscoveryMoved() {
-  subscription_.moved(now(), drawForList());
+  subscription_.onMoved(now(), drawForList());
   listRequestChanged_.notify();
 }
 
@@ -268,9 +267,9 @@
 
 void Router::onPeerMessage(int from, std::string_view bytes) {
   const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
-  if (const auto gossip = outlier_gossip::unpack(data, bytes.size())) {
-    gossip_.heard(from, *gossip, now(), gossipRandom_);
-    applyGossip(*gossip);
+  if (const auto message = decodeGossip(data, bytes.size())) {
+    gossip_.onGossip(from, *message, now(), gossipRandom_);
+    applyGossip(*message);
     return;
   }
   policy_.onPeerMessage(from, data, bytes.size(), now());
@@ -278,18 +277,18 @@
   activity_.notify();
 }
 
-void Router::applyGossip(const outlier_gossip::Telling &gossip) {
-  for (const auto &seen : gossip.nodes)
+void Router::applyGossip(const GossipMessage &message) {
+  for (const auto &observed : message.observations)
     for (auto &known : endpoints_)
-      if (known.endpoint->fingerprint == seen.node)
-        known.endpoint->health.suspectUntilByPeers = gossip_.doubtedUntil(seen.node);
+      if (known.endpoint->fingerprint == observed.fingerprint)
+        known.endpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListTrust() {
-  const bool usesDnsRecords = merge_ != nullptr;
-  const Nanoseconds since = subscription_.provenSince(now(), usesDnsRecords);
+  const auto sources = merge_ != nullptr ? ListSources::discoveryAndDns : ListSources::discovery;
+  const Nanoseconds since = subscription_.provenSince(now(), sources);
   const Nanoseconds before = policy_.provenSince();
-  if (since == discovery_subscription::kNothingProven && before != since)
+  if (since == kNothingProven && before != since)
     log_.warning(
         "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
   else if (since != 0 && before == 0)
@@ -303,7 +302,8 @@
   updateListTrust();
   auto due = policy_.runDueTasks(now());
   if (policy_.deployment().hasPeers)
-    for (auto &message : gossip_.due(now(), gossipRandom_)) due.messages.push_back(std::move(message));
+    for (auto &message : gossip_.messagesDue(now(), gossipRandom_))
+      due.messages.push_back(std::move(message));
   for (const auto &line : due.logLines) log_.info(line);
   for (auto &message : due.messages) messages_.push_back(std::move(message));
   if (!due.messages.empty()) messageQueued_.notify();
