--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -15,279 +15,317 @@
 
 namespace {
 
-constexpr int kControlShare = 16;         // descriptors kept for calls on discovery and the platform
-constexpr std::size_t kSmall = 16 * 1024; // an answer that needs no place of its own, a buffer that is kept
-constexpr Nanoseconds kSettled = kSecond; // for what is due behind an answer to come
+constexpr int kControlReserve = 16; // descriptors kept for connections to discovery and the platform
+constexpr std::size_t kSmallMessageBytes = 16 * 1024; // needs no reservation; a buffer that is kept
+constexpr Nanoseconds kResponseEndTimeout = kSecond;  // for what is due behind an answer
+constexpr float kMaxLoad = 1e6f;
 
-// The next message of a connection, at the front of its buffer until it is consumed.
-net::Task<Failure> nextMessage(net::Socket &socket, net::Buffer &buffer, net::Deadline until,
-                               SendProgress reach, pg::Message &out) {
+// The next message of a connection, at the front of its buffer until it is consumed. `progress`: of the
+// attempt, where it fails before anything has arrived.
+net::Task<Failure> nextMessage(net::Socket &socket, net::Buffer &buffer, net::Deadline deadline,
+                               SendProgress progress, pg::Message &out) {
   for (;;) {
     const auto parsed = pg::parseMessage(buffer.view(), out);
     if (parsed == pg::Parsed::whole) co_return Failure{};
-    if (parsed == pg::Parsed::bad) co_return Failure{ErrorCode::unreadable, reach};
-    const auto cause = co_await socket.read(buffer, until);
-    if (cause != ErrorCode::none)
-      co_return Failure{cause, buffer.empty() ? reach : std::max(reach, SendProgress::responseStarted)};
+    if (parsed == pg::Parsed::bad) co_return Failure{ErrorCode::unreadable, progress};
+    const auto error = co_await socket.read(buffer, deadline);
+    if (error != ErrorCode::none)
+      co_return Failure{error, buffer.empty() ? progress : std::max(progress, SendProgress::responseStarted)};
   }
 }
 
+// The timeout that is passed on with a statement, in milliseconds: rounded up, and 1 at least.
+Nanoseconds timeoutMs(Nanoseconds timeLeft) {
+  return std::max<Nanoseconds>((timeLeft + kMillisecond - 1) / kMillisecond, 1);
+}
+
+// A load report's value, or -1 where it is no number that can be.
+float parseLoad(std::string_view text) {
+  float value = 0;
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
+  const bool isNumber = parsed.ec == std::errc{} && parsed.ptr == text.data() + text.size();
+  return isNumber && value <= kMaxLoad ? value : -1; // the comparison is false for NaN
+}
+
 } // namespace
 
 Outcome outcomeOf(const Failure &failure) {
-  const bool written = failure.progress == SendProgress::fullyWritten ||
-                       failure.progress == SendProgress::responseStarted;
+  const bool isWritten = failure.progress == SendProgress::fullyWritten ||
+                         failure.progress == SendProgress::responseStarted;
   if (failure.cause == ErrorCode::noDescriptorLeft) return Outcome::notSent; // no fault of the endpoint's
-  if (failure.cause == ErrorCode::cancelled) return written ? Outcome::cancelled : Outcome::notSent;
-  if (!written) return Outcome::unreachable;
+  if (failure.cause == ErrorCode::cancelled) return isWritten ? Outcome::cancelled : Outcome::notSent;
+  if (!isWritten) return Outcome::unreachable;
   return failure.cause == ErrorCode::timedOut ? Outcome::timedOut : Outcome::reset;
 }
 
-// Guards the belief of load against reports that can't be: one bad value spoils all of them.
-std::vector<float> readLoads(std::string_view text, const std::vector<std::string> &names) {
-  constexpr float kMost = 1e6f;
+// Guards the estimate of load against impossible values: one of them spoils all.
+std::vector<float> parseLoadReport(std::string_view text, const std::vector<std::string> &names) {
   std::vector<float> out(names.size(), -1);
   while (!text.empty()) {
     const auto end = std::min(text.find(','), text.size());
     const auto item = text.substr(0, end);
     text.remove_prefix(std::min(end + 1, text.size()));
-    const auto eq = std::min(item.find('='), item.size());
-    const auto at = std::find(names.begin(), names.end(), item.substr(0, eq));
-    if (at == names.end()) continue;
-    const auto word = item.substr(std::min(eq + 1, item.size()));
-    float value = 0;
-    const auto r = std::from_chars(word.data(), word.data() + word.size(), value);
-    const bool whole = r.ec == std::errc{} && r.ptr == word.data() + word.size();
-    out[static_cast<std::size_t>(at - names.begin())] = whole && value <= kMost ? value : -1; // nan is not
+    const auto equals = std::min(item.find('='), item.size());
+    const auto name = std::find(names.begin(), names.end(), item.substr(0, equals));
+    if (name == names.end()) continue;
+    out[static_cast<std::size_t>(name - names.begin())] = parseLoad(
+        item.substr(std::min(equals + 1, item.size())));
   }
-  const auto is = [](float value) { return value >= 0; };
-  return std::all_of(out.begin(), out.end(), is) ? out : std::vector<float>{};
+  const auto isValid = [](float value) { return value >= 0; };
+  return std::all_of(out.begin(), out.end(), isValid) ? out : std::vector<float>{};
 }
 
-net::Task<AttemptResult> ConnectionPool::attempt(const UpstreamEndpoint &target,
-                                                 const pg::Statement &statement, net::Deadline until,
-                                                 Nanoseconds sendBy, std::function<bool()> meant) {
+net::Task<AttemptResult> ConnectionPool::attempt(const UpstreamEndpoint &endpoint,
+                                                 const pg::Statement &statement, net::Deadline deadline,
+                                                 Nanoseconds sendBy, std::function<bool()> isStillCurrent) {
   AttemptResult out;
-  Held c = take(target);
-  if (c == nullptr) {
-    auto opened = co_await open(target, until);
+  auto connection = takeIdle(endpoint);
+  if (connection == nullptr) {
+    auto opened = co_await open(endpoint, deadline);
     if (!opened) {
-      const bool full = opened.failure().cause == ErrorCode::refused &&
-                        opened.failure().progress == SendProgress::responseStarted;
-      out.outcome = full ? Outcome::rejected : outcomeOf(opened.failure());
+      const bool isRejected = opened.failure().cause == ErrorCode::refused &&
+                              opened.failure().progress == SendProgress::responseStarted;
+      out.outcome = isRejected ? Outcome::rejected : outcomeOf(opened.failure());
       co_return out;
     }
-    c = std::move(*opened);
+    connection = std::move(*opened);
   }
-  // Guards against writing to an endpoint that was listed otherwise, or too late for a repeat, once the
-  // connection is up.
-  if (!meant() || sched_.now() > sendBy) {
-    keep(target, std::move(c));
+  // Guards against writing to an endpoint whose listing has changed meanwhile, or too late for a retry.
+  if (!isStillCurrent() || sched_.now() > sendBy) {
+    putBack(endpoint, std::move(connection));
     out.outcome = Outcome::notSent;
     co_return out;
   }
   std::string query;
-  pg::addQuery(query, pg::withPatience(statement,
-                                       std::max<Nanoseconds>(
-                                           (until.at - sched_.now() + kMillisecond - 1) / kMillisecond, 1)));
-  const auto failure = co_await exchange(*c, std::move(query), until, sendBy, out);
+  pg::addQuery(query, pg::withPatience(statement, timeoutMs(deadline.at - sched_.now())));
+  const auto failure = co_await exchange(*connection, std::move(query), deadline, sendBy, out);
   if (failure.cause != ErrorCode::none)
     out.outcome = outcomeOf(failure);
   else
-    keep(target, std::move(c));
+    putBack(endpoint, std::move(connection));
   co_return out;
 }
 
-net::Task<net::Result<ConnectionPool::Held>> ConnectionPool::open(const UpstreamEndpoint &target,
-                                                                  net::Deadline until) {
-  const auto address = net::parseAddress(target.address);
+net::Task<net::Result<ConnectionPool::PooledConnection>>
+ConnectionPool::open(const UpstreamEndpoint &endpoint, net::Deadline deadline) {
+  const auto address = net::parseAddress(endpoint.address);
   if (!address) co_return Failure{ErrorCode::refused};
-  until.at = std::min(until.at, sched_.now() + connectWithin_);
-  if (budget_.available() <= kControlShare && !closeOldestIdle())
+  deadline.at = std::min(deadline.at, sched_.now() + connectTimeout_);
+  if (budget_.available() <= kControlReserve && !closeOldestIdle())
     co_return Failure{ErrorCode::noDescriptorLeft};
-  auto connected = co_await net::connect(sched_, budget_, *address, until);
-  if (!connected) co_return connected.failure();
-  auto c = std::make_unique<Connection>();
-  c->changes = target.version;
-  c->socket = std::move(*connected);
-  const auto failure = co_await welcome(*c, until);
+  auto socket = co_await net::connect(sched_, budget_, *address, deadline);
+  if (!socket) co_return socket.failure();
+  auto connection = std::make_unique<Connection>();
+  connection->endpointVersion = endpoint.version;
+  connection->socket = std::move(*socket);
+  const auto failure = co_await handshake(*connection, deadline);
   if (failure.cause != ErrorCode::none) co_return failure;
-  co_return std::move(c);
+  co_return std::move(connection);
 }
 
-// From the startup message to the first ReadyForQuery. Refused at `answering`: the endpoint has said no.
-net::Task<Failure> ConnectionPool::welcome(Connection &c, net::Deadline until) {
+// From the startup message to the first ReadyForQuery. `refused` with `responseStarted`: the endpoint is full
+// or starting up.
+net::Task<Failure> ConnectionPool::handshake(Connection &connection, net::Deadline deadline) {
+  constexpr std::string_view kTooManyConnections = "53300";
+  constexpr std::string_view kCannotConnectNow = "57P03";
+  constexpr std::string_view kAuthenticationOk("\0\0\0\0", 4);
   std::string startup;
   pg::addStartup(startup, "svc", "main");
-  const auto cause = co_await c.socket->write(startup, until);
-  if (cause != ErrorCode::none) co_return Failure{cause};
+  const auto written = co_await connection.socket->write(startup, deadline);
+  if (written != ErrorCode::none) co_return Failure{written};
   for (;;) {
-    pg::Message m;
-    auto failure = co_await nextMessage(*c.socket, c.buffer, until, SendProgress::notConnected, m);
+    pg::Message message;
+    auto failure = co_await nextMessage(*connection.socket, connection.buffer, deadline,
+                                        SendProgress::notConnected, message);
     failure.progress = SendProgress::notConnected; // nothing of the request has been written
     if (failure.cause != ErrorCode::none) co_return failure;
-    const char type = m.type;
-    const bool admitted = type != 'R' || m.body == std::string_view("\0\0\0\0", 4);
-    const auto code = type == 'E' ? pg::errorCode(m.body) : "";
-    if (code == "53300" || code == "57P03")
+    const char type = message.type;
+    const bool isAuthenticated = type != 'R' || message.body == kAuthenticationOk;
+    const auto code = type == 'E' ? pg::errorCode(message.body) : "";
+    if (code == kTooManyConnections || code == kCannotConnectNow)
       co_return Failure{ErrorCode::refused, SendProgress::responseStarted};
-    if (type == 'E' || !admitted) co_return Failure{ErrorCode::refused};
-    c.buffer.consume(m.size);
+    if (type == 'E' || !isAuthenticated) co_return Failure{ErrorCode::refused};
+    connection.buffer.consume(message.size);
     if (type == 'Z') co_return Failure{};
   }
 }
 
-// The statement is written and its answer read, up to ReadyForQuery if that has come along. What is passed on
-// has the form of the one answer due; anything else may have run and is not believed.
-net::Task<Failure> ConnectionPool::exchange(Connection &c, std::string query, net::Deadline until,
+// The statement is written and its answer read, up to ReadyForQuery if that has arrived with it. What is
+// passed on has the form of the one answer that is due; anything else may have been executed and is not
+// believed.
+net::Task<Failure> ConnectionPool::exchange(Connection &connection, std::string query, net::Deadline deadline,
                                             Nanoseconds sendBy, AttemptResult &out) {
-  const net::Deadline whole{std::min(until.at, sendBy), until.cancellation};
-  const auto written = co_await c.socket->write(query, whole);
+  const net::Deadline writeDeadline{std::min(deadline.at, sendBy), deadline.cancellation};
+  const auto written = co_await connection.socket->write(query, writeDeadline);
   if (written != ErrorCode::none) co_return Failure{written, SendProgress::partlyWritten};
-  bool over = false, any = false;
-  while (!over) {
-    pg::Message m;
-    const auto part = c.reply.next(c.buffer.view(), m);
+  auto &buffer = connection.buffer;
+  auto progress = SendProgress::fullyWritten;
+  for (bool isComplete = false; !isComplete;) {
+    pg::Message message;
+    const auto part = connection.reply.next(buffer.view(), message);
     if (part == pg::Reply::more) {
-      const auto size = pg::announcedSize(c.buffer.view());
-      if (size > kSmall && !out.memory.isAcquired()) {
-        const auto reserved = co_await net::MemoryReservation::acquire(sched_, large_, size, until,
+      const auto size = pg::announcedSize(buffer.view());
+      if (size > kSmallMessageBytes && !out.memory.isAcquired()) {
+        const auto reserved = co_await net::MemoryReservation::acquire(sched_, answerMemory_, size, deadline,
                                                                        out.memory);
         if (reserved != net::MemoryReservation::Result::acquired)
           co_return Failure{ErrorCode::timedOut, SendProgress::responseStarted};
-        c.buffer.prepare(size + kSmall - c.buffer.view().size()); // once, for all that comes
-        out.answer.reserve(size + kHead);
+        buffer.prepare(size + kSmallMessageBytes - buffer.view().size()); // once, for all that comes
+        out.answer.reserve(size + kAnswerHeadBytes);
       }
-      const auto cause = co_await c.socket->read(c.buffer, until);
-      if (cause != ErrorCode::none)
-        co_return Failure{cause, any ? SendProgress::responseStarted : SendProgress::fullyWritten};
-      any = true;
+      const auto error = co_await connection.socket->read(buffer, deadline);
+      if (error != ErrorCode::none) co_return Failure{error, progress};
+      progress = SendProgress::responseStarted;
       continue;
     }
     if (part == pg::Reply::bad || part == pg::Reply::empty)
       co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
-    if (part == pg::Reply::aside && m.type == 'S') readParameter(m.body, out);
-    if (part == pg::Reply::error)
-      out.outcome = pg::errorCode(m.body) == "53300" ? Outcome::rejected : Outcome::failed;
-    else if (part != pg::Reply::aside)
-      out.answer += c.buffer.view().substr(0, m.size);
-    if (part == pg::Reply::complete) out.outcome = Outcome::succeeded;
-    over = part == pg::Reply::complete || part == pg::Reply::error;
-    c.buffer.consume(m.size);
+    isComplete = addToAnswer(connection, part, message, out);
+    buffer.consume(message.size);
   }
-  c.buffer.shrink(kSmall);
-  // The load report stands between the answer and ReadyForQuery. What has not come along is read later.
-  fence(c);
-  settle(c, &out);
-  if (!std::exchange(c.used, true)) co_return Failure{}; // no earlier answer's copy can have come
-  const auto failure = co_await proven(c, until, out);
+  buffer.shrink(kSmallMessageBytes);
+  // The load report stands between the answer and ReadyForQuery. What has not arrived yet is read later.
+  sendSyncQuery(connection);
+  drainResponse(connection, &out);
+  if (!std::exchange(connection.hasCarriedAnswer, true)) co_return Failure{}; // there is no earlier answer
+  const auto failure = co_await confirmAnswer(connection, deadline, out);
   co_return failure;
 }
 
-// Guards against a second copy of an earlier answer that comes while this one is waited for: then the one due
-// comes before the empty query's answer, and which of the two is whose can't be told. It may have run.
-net::Task<Failure> ConnectionPool::proven(Connection &c, net::Deadline until, AttemptResult &out) {
-  while (!c.spoilt && c.due > 0) {
-    const auto cause = co_await c.socket->read(c.buffer, until);
-    if (cause != ErrorCode::none) co_return Failure{cause, SendProgress::responseStarted};
-    settle(c, &out);
+// Takes the part at the front of the buffer, without consuming it. Returns whether the answer is complete.
+bool ConnectionPool::addToAnswer(Connection &connection, pg::Reply::Part part, const pg::Message &message,
+                                 AttemptResult &out) {
+  constexpr std::string_view kRejected = "53300";
+  if (part == pg::Reply::aside && message.type == 'S') readParameterStatus(message.body, out);
+  if (part == pg::Reply::error)
+    out.outcome = pg::errorCode(message.body) == kRejected ? Outcome::rejected : Outcome::failed;
+  else if (part != pg::Reply::aside)
+    out.answer += connection.buffer.view().substr(0, message.size);
+  if (part == pg::Reply::complete) out.outcome = Outcome::succeeded;
+  return part == pg::Reply::complete || part == pg::Reply::error;
+}
+
+// Guards against a copy of an earlier answer that arrives while this one is awaited: then the one due arrives
+// before the empty query's answer, and which of the two is whose can't be told. It may have been executed.
+net::Task<Failure> ConnectionPool::confirmAnswer(Connection &connection, net::Deadline deadline,
+                                                 AttemptResult &out) {
+  while (!connection.hasUnexpectedContent && connection.readyForQueryDue > 0) {
+    const auto error = co_await connection.socket->read(connection.buffer, deadline);
+    if (error != ErrorCode::none) co_return Failure{error, SendProgress::responseStarted};
+    drainResponse(connection, &out);
   }
-  co_return c.spoilt ? Failure{ErrorCode::unreadable, SendProgress::responseStarted} : Failure{};
+  if (connection.hasUnexpectedContent)
+    co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
+  co_return Failure{};
 }
 
-void ConnectionPool::readParameter(std::string_view body, AttemptResult &out) {
+void ConnectionPool::readParameterStatus(std::string_view body, AttemptResult &out) {
+  constexpr std::size_t kMaxLoggedBytes = 100;
   std::string_view name, value;
   if (!pg::takeText(body, name) || !pg::takeText(body, value) || name != "load") return;
-  out.loads = readLoads(value, loadNames_);
-  if (out.loads.empty() && !loadNames_.empty() && !std::exchange(lacking_, true))
-    log_.warning("a load report lacks a field or can't be read", {{"report", value.substr(0, 100)}});
+  out.loads = parseLoadReport(value, loadFields_);
+  if (!out.loads.empty() || loadFields_.empty() || hasLoggedBadLoadReport_) return;
+  hasLoggedBadLoadReport_ = true;
+  log_.warning("a load report lacks a field or can't be read",
+               {{"report", value.substr(0, kMaxLoggedBytes)}});
 }
 
-// Guards against a second copy of an answer, or noise, that comes behind it: an empty query has no effect,
-// and its answer can't overtake what the endpoint has sent before.
-void ConnectionPool::fence(Connection &c) {
+// Guards against a copy of an answer, or noise, that arrives behind it: an empty query has no effect, and its
+// answer can't overtake what the endpoint has sent before.
+void ConnectionPool::sendSyncQuery(Connection &connection) {
   std::string query;
   pg::addQuery(query, "");
-  c.due = 2;
-  c.emptyDue = true;
-  c.spoilt = !c.socket->tryWrite(query);
+  connection.readyForQueryDue = 2;
+  connection.isEmptyQueryAnswerDue = true;
+  connection.hasUnexpectedContent = !connection.socket->tryWrite(query);
 }
 
-// Takes what has come of what is due behind an answer: ReadyForQuery, then the empty query's answer.
-void ConnectionPool::settle(Connection &c, AttemptResult *out) {
-  pg::Message m;
-  while (!c.spoilt && (c.due > 0 || !c.buffer.empty())) {
-    const auto part = c.reply.next(c.buffer.view(), m);
+// Takes what has arrived of what is due behind an answer: ReadyForQuery, then the empty query's answer and
+// its ReadyForQuery. `out` receives a load report on the way; nullptr: it is dropped.
+void ConnectionPool::drainResponse(Connection &connection, AttemptResult *out) {
+  pg::Message message;
+  auto &due = connection.readyForQueryDue;
+  while (!connection.hasUnexpectedContent && (due > 0 || !connection.buffer.empty())) {
+    const auto part = connection.reply.next(connection.buffer.view(), message);
     if (part == pg::Reply::more) return;
-    const bool ready = part == pg::Reply::ready && (c.due == 2 || (c.due == 1 && !c.emptyDue));
-    const bool empty = part == pg::Reply::empty && c.due == 1 && c.emptyDue;
-    if (part == pg::Reply::aside && m.type == 'S' && out != nullptr) readParameter(m.body, *out);
-    c.spoilt = part != pg::Reply::aside && !ready && !empty;
-    if (c.spoilt) return;
-    c.due -= ready;
-    c.emptyDue = c.emptyDue && !empty;
-    c.buffer.consume(m.size);
+    const bool isReady = part == pg::Reply::ready &&
+                         (due == 2 || (due == 1 && !connection.isEmptyQueryAnswerDue));
+    const bool isEmptyQueryAnswer = part == pg::Reply::empty && due == 1 && connection.isEmptyQueryAnswerDue;
+    if (part == pg::Reply::aside && message.type == 'S' && out != nullptr)
+      readParameterStatus(message.body, *out);
+    connection.hasUnexpectedContent = part != pg::Reply::aside && !isReady && !isEmptyQueryAnswer;
+    if (connection.hasUnexpectedContent) return;
+    if (isReady) --due;
+    if (isEmptyQueryAnswer) connection.isEmptyQueryAnswerDue = false;
+    connection.buffer.consume(message.size);
   }
 }
 
-// All that has come is read: the connection's end may stand behind what was due.
-ConnectionPool::Standing ConnectionPool::standing(Connection &c) {
-  auto cause = ErrorCode::none;
-  while (cause == ErrorCode::none && !c.spoilt) {
-    cause = c.socket->tryRead(c.buffer);
-    settle(c, nullptr);
+// Reads all that has arrived: the connection's end may stand behind what was due.
+ConnectionPool::ConnectionHealth ConnectionPool::checkHealth(Connection &connection) {
+  auto error = ErrorCode::none;
+  while (error == ErrorCode::none && !connection.hasUnexpectedContent) {
+    error = connection.socket->tryRead(connection.buffer);
+    drainResponse(connection, nullptr);
   }
-  if (cause != ErrorCode::timedOut) return useless;
-  c.buffer.shrink(kSmall);
-  if (c.spoilt || (c.due == 0 && !c.buffer.empty())) return useless;
-  return c.due > 0 ? unsettled : usable;
+  if (error != ErrorCode::timedOut) return ConnectionHealth::unusable;
+  connection.buffer.shrink(kSmallMessageBytes);
+  if (connection.hasUnexpectedContent) return ConnectionHealth::unusable;
+  if (connection.readyForQueryDue > 0) return ConnectionHealth::awaitingResponseEnd;
+  return connection.buffer.empty() ? ConnectionHealth::usable : ConnectionHealth::unusable;
 }
 
-ConnectionPool::Held ConnectionPool::take(const UpstreamEndpoint &target) {
-  if (target.index >= places_.size()) return nullptr;
-  auto &idle = places_[target.index].idle;
-  for (std::size_t i = idle.size(); i-- > 0;) {
-    const bool fresh = idle[i]->changes == target.version &&
-                       sched_.now() - idle[i]->idleSince < idleAtMost_ / 2;
-    const auto stands = fresh ? standing(*idle[i]) : useless;
-    if (stands == unsettled) continue;
-    auto c = std::move(idle[i]);
-    idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
-    if (stands == usable) return c;
+// The usable connection that was used latest, or nullptr; unusable ones on the way are closed.
+ConnectionPool::PooledConnection ConnectionPool::takeIdle(const UpstreamEndpoint &endpoint) {
+  if (endpoint.index >= idle_.size()) return nullptr;
+  auto &connections = idle_[endpoint.index].connections;
+  for (std::size_t i = connections.size(); i-- > 0;) {
+    const bool isFresh = connections[i]->endpointVersion == endpoint.version &&
+                         sched_.now() - connections[i]->idleSince < maxIdleTime_ / 2;
+    const auto health = isFresh ? checkHealth(*connections[i]) : ConnectionHealth::unusable;
+    if (health == ConnectionHealth::awaitingResponseEnd) continue;
+    auto connection = std::move(connections[i]);
+    connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(i));
+    if (health == ConnectionHealth::usable) return connection;
   }
   return nullptr;
 }
 
-void ConnectionPool::keep(const UpstreamEndpoint &target, Held c) {
-  while (places_.size() <= target.index) places_.emplace_back();
-  auto &place = places_[target.index];
-  place.target = &target;
-  if (c->changes != target.version || !target.isReady) return;
-  c->idleSince = sched_.now();
-  c->buffer.shrink(kSmall);
-  place.idle.push_back(std::move(c));
+// Keeps a connection for further attempts, unless its endpoint has changed or is not listed as ready.
+void ConnectionPool::putBack(const UpstreamEndpoint &endpoint, PooledConnection connection) {
+  while (idle_.size() <= endpoint.index) idle_.emplace_back();
+  auto &idle = idle_[endpoint.index];
+  idle.endpoint = &endpoint;
+  if (connection->endpointVersion != endpoint.version || !endpoint.isReady) return;
+  connection->idleSince = sched_.now();
+  connection->buffer.shrink(kSmallMessageBytes);
+  idle.connections.push_back(std::move(connection));
 }
 
 net::Task<> ConnectionPool::sweep() {
+  constexpr Nanoseconds kSweepInterval = kSecond;
   for (;;) {
-    co_await sched_.sleep(kSecond);
-    for (auto &place : places_)
-      std::erase_if(place.idle, [&](const Held &c) {
-        const bool old = sched_.now() - c->idleSince >= idleAtMost_ / 2;
-        const bool late = c->due > 0 && sched_.now() - c->idleSince >= kSettled;
-        return old || late || c->changes != place.target->version || standing(*c) == useless;
+    co_await sched_.sleep(kSweepInterval);
+    for (auto &idle : idle_)
+      std::erase_if(idle.connections, [&](const PooledConnection &connection) {
+        const auto idleTime = sched_.now() - connection->idleSince;
+        const bool isOld = idleTime >= maxIdleTime_ / 2;
+        const bool isLate = connection->readyForQueryDue > 0 && idleTime >= kResponseEndTimeout;
+        return isOld || isLate || connection->endpointVersion != idle.endpoint->version ||
+               checkHealth(*connection) == ConnectionHealth::unusable;
       });
   }
 }
 
 bool ConnectionPool::closeOldestIdle() {
-  Place *oldest = nullptr;
-  for (auto &place : places_)
-    if (!place.idle.empty() &&
-        (oldest == nullptr || place.idle.front()->idleSince < oldest->idle.front()->idleSince))
-      oldest = &place;
+  IdleConnections *oldest = nullptr;
+  for (auto &idle : idle_) {
+    if (idle.connections.empty()) continue;
+    const auto since = idle.connections.front()->idleSince;
+    if (oldest == nullptr || since < oldest->connections.front()->idleSince) oldest = &idle;
+  }
   if (oldest == nullptr) return false;
-  oldest->idle.pop_front();
+  oldest->connections.pop_front();
   return true;
 }
 
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,8 +1,8 @@
-// Connections to endpoints, and upstream attempts on them. A connection carries one try at a time and is used
-// again only after a whole answer with nothing left over, and once an empty query behind it has been
-// answered. What an endpoint sends too much may come later still: the answer on a connection that has carried
-// one before counts only once the empty query behind it has been answered with nothing else between, so an
-// earlier one's copy is never passed on.
+// Connections to endpoints, and upstream attempts on them. A connection carries one attempt at a time and is
+// used again only after a complete answer with nothing left over, and once an empty query behind it has been
+// answered. What an endpoint sends too much may arrive later still: the answer on a connection that has
+// carried one before counts only once the empty query behind it has been answered with nothing else between,
+// so a copy of an earlier answer is never passed on.
 #pragma once
 
 #include "base/net/memory_budget.h"
@@ -18,72 +18,83 @@
 // What an attempt came to.
 struct AttemptResult {
   Outcome outcome = Outcome::unreachable;
-  std::string answer;            // completed: the row as the endpoint wrote it, to be passed on
+  std::string answer;            // succeeded: the row as the endpoint wrote it, to be passed on
   std::vector<float> loads;      // the endpoint's load report, in the order of the deployment's fields
   net::MemoryReservation memory; // of a large answer, until it has been passed on
 };
 
-// From how far the attempt had come to what that proves.
+// What a failure proves, by how far the attempt had come.
 Outcome outcomeOf(const net::Failure &failure);
 
-// "inflight=7,util=0.61": the values of `names`, in their order; none where one is missing or can't be.
-std::vector<float> readLoads(std::string_view text, const std::vector<std::string> &names);
+// "inflight=7,util=0.61": the values of `names`, in their order; empty where one is missing or is no finite
+// number from 0 to a million.
+std::vector<float> parseLoadReport(std::string_view text, const std::vector<std::string> &names);
 
 class ConnectionPool {
 public:
+  // `maxIdleTime`: after which endpoints close idle connections; they are used for half of it. `loadFields`:
+  // the names of a load report's values. `answerMemory`: bytes for large answers of all endpoints.
   ConnectionPool(net::Scheduler &sched, net::DescriptorBudget &budget, log::Log &log,
-                 Nanoseconds connectWithin, Nanoseconds idleAtMost, std::vector<std::string> loadNames,
-                 std::size_t places)
-      : sched_(sched), budget_(budget), log_(log), connectWithin_(connectWithin), idleAtMost_(idleAtMost),
-        loadNames_(std::move(loadNames)), large_(std::max(places, pg::kMostRow + kHead)) {}
+                 Nanoseconds connectTimeout, Nanoseconds maxIdleTime, std::vector<std::string> loadFields,
+                 std::size_t answerMemory)
+      : sched_(sched), budget_(budget), log_(log), connectTimeout_(connectTimeout), maxIdleTime_(maxIdleTime),
+        loadFields_(std::move(loadFields)),
+        answerMemory_(std::max(answerMemory, pg::kMostRow + kAnswerHeadBytes)) {}
 
-  // `meant`: asked right before the statement is written to a new connection; false: it is not sent. Nor is
-  // it where its last byte would leave after `sendBy`.
-  net::Task<AttemptResult> attempt(const UpstreamEndpoint &target, const pg::Statement &statement,
-                                   net::Deadline until, Nanoseconds sendBy, std::function<bool()> meant);
-  net::Task<> sweep();    // closes what has stood idle or ended, for as long as the instance lives
-  bool closeOldestIdle(); // to free a descriptor
+  // One attempt. `isStillCurrent` is asked right before the statement is written: where it is not, or where
+  // the statement's last byte would leave after `sendBy`, the outcome is notSent.
+  net::Task<AttemptResult> attempt(const UpstreamEndpoint &endpoint, const pg::Statement &statement,
+                                   net::Deadline deadline, Nanoseconds sendBy,
+                                   std::function<bool()> isStillCurrent);
+  // Closes connections that have been idle too long or have ended, for as long as the instance runs.
+  net::Task<> sweep();
+  // Frees a descriptor; false: no connection is idle.
+  bool closeOldestIdle();
 
 private:
-  static constexpr std::size_t kHead = 1024; // of an answer, beside its row
+  static constexpr std::size_t kAnswerHeadBytes = 1024; // of an answer, beside its row
   struct Connection {
     std::unique_ptr<net::Socket> socket;
     net::Buffer buffer;
-    std::uint64_t changes = 0; // of its target, when it was opened
+    std::uint64_t endpointVersion = 0; // when it was opened
     Nanoseconds idleSince = 0;
     pg::Reply reply;
-    int due = 0;           // ReadyForQuery messages that are still to come
-    bool emptyDue = false; // and the empty query's answer before the last of them
-    bool spoilt = false;   // something stands there that may not
-    bool used = false;     // an earlier answer has come on it
+    int readyForQueryDue = 0;           // messages that are still to come
+    bool isEmptyQueryAnswerDue = false; // before the last of them
+    bool hasUnexpectedContent = false;
+    bool hasCarriedAnswer = false;
+  };
+  using PooledConnection = std::unique_ptr<Connection>;
+  enum class ConnectionHealth { usable, awaitingResponseEnd, unusable };
+  // Of one endpoint.
+  struct IdleConnections {
+    const UpstreamEndpoint *endpoint = nullptr;
+    std::deque<PooledConnection> connections; // the one used latest last
   };
-  using Held = std::unique_ptr<Connection>;
 
-  net::Task<net::Result<Held>> open(const UpstreamEndpoint &target, net::Deadline until);
-  net::Task<net::Failure> welcome(Connection &c, net::Deadline until);
-  net::Task<net::Failure> exchange(Connection &c, std::string query, net::Deadline until, Nanoseconds sendBy,
-                                   AttemptResult &out);
-  net::Task<net::Failure> proven(Connection &c, net::Deadline until, AttemptResult &out);
-  Held take(const UpstreamEndpoint &target);
-  void keep(const UpstreamEndpoint &target, Held c);
-  enum Standing { usable, unsettled, useless };
-  Standing standing(Connection &c);
-  void settle(Connection &c, AttemptResult *out);
-  void fence(Connection &c);
-  void readParameter(std::string_view body, AttemptResult &out);
+  net::Task<net::Result<PooledConnection>> open(const UpstreamEndpoint &endpoint, net::Deadline deadline);
+  net::Task<net::Failure> handshake(Connection &connection, net::Deadline deadline);
+  net::Task<net::Failure> exchange(Connection &connection, std::string query, net::Deadline deadline,
+                                   Nanoseconds sendBy, AttemptResult &out);
+  bool addToAnswer(Connection &connection, pg::Reply::Part part, const pg::Message &message,
+                   AttemptResult &out);
+  net::Task<net::Failure> confirmAnswer(Connection &connection, net::Deadline deadline, AttemptResult &out);
+  PooledConnection takeIdle(const UpstreamEndpoint &endpoint);
+  void putBack(const UpstreamEndpoint &endpoint, PooledConnection connection);
+  ConnectionHealth checkHealth(Connection &connection);
+  void drainResponse(Connection &connection, AttemptResult *out);
+  void sendSyncQuery(Connection &connection);
+  void readParameterStatus(std::string_view body, AttemptResult &out);
 
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
   log::Log &log_;
-  Nanoseconds connectWithin_, idleAtMost_;
-  std::vector<std::string> loadNames_;
-  net::MemoryBudget large_; // room for large answers
-  bool lacking_ = false;    // a report has lacked a field
-  struct Place {
-    const UpstreamEndpoint *target = nullptr;
-    std::deque<Held> idle; // the latest used last
-  };
-  std::deque<Place> places_; // by the target's index
+  Nanoseconds connectTimeout_;
+  Nanoseconds maxIdleTime_;
+  std::vector<std::string> loadFields_;
+  net::MemoryBudget answerMemory_; // for large answers
+  bool hasLoggedBadLoadReport_ = false;
+  std::deque<IdleConnections> idle_; // by the endpoint's index
 };
 
 } // namespace myrtlehead::upstream
