--- a/tests/pipelining_test.cpp
+++ b/tests/pipelining_test.cpp
@@ -327,4 +327,5 @@
   proxy.loop.run(proxy.listener.close());
   const auto got = client.readToEnd();
   REQUIRE(got == "RZTDCZTDCZTDCZTDCZ");
+  REQUIRE(proxy.receivedAt.size() == 4); // each was sent to the endpoint
 }
