--- a/src/router/router.h
+++ b/src/router/router.h
@@ -79,10 +79,10 @@
   sched::Task<> nextListRequest();
   // isComplete: endpoints that are not among the entries are gone.
   void onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete);
-  // Any message of an open watch. isCurrentPlace: it came from where discovery is now.
-  void onListMessage(bool isCurrentPlace);
+  // Any message of an open watch.
+  void onListMessage(MessageSource source);
   // A call for the list or a watch has ended. isLast: nothing else is open.
-  void onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others, bool isLast);
+  void onListClosed(CallEnd end, OtherCalls others, bool isLast);
   void onDiscoveryMoved();
   UpstreamEndpoint *findEndpoint(const std::string &name);
 
@@ -112,7 +112,7 @@
   void applyUpdates(const std::vector<Entry> &entries, bool isComplete);
   void adoptLeadingNames(const std::vector<Entry> &entries);
   void observePriorityGroups();
-  void applyGossip(const outlier_gossip::Telling &gossip);
+  void applyGossip(const GossipMessage &message);
   void updateListTrust();
   void runDueTasks();
   double drawForList();
@@ -125,9 +125,9 @@
   endpoint_merge::EndpointMerge *merge_ = nullptr; // null: the list alone
   priority_selector::PrioritySelector prioritySelector_;
   RandomEngine priorityRandom_;
-  outlier_gossip::OutlierGossip gossip_; // where instances may send each other messages
+  OutlierGossip gossip_; // where instances may send each other messages
   RandomEngine gossipRandom_;
-  discovery_subscription::DiscoverySubscription subscription_;
+  DiscoverySubscription subscription_;
   RandomEngine subscriptionRandom_;
   std::deque<UpstreamEndpoint> endpoints_;
   std::unordered_map<std::string, UpstreamEndpoint *> byName_;
