--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -21,7 +21,7 @@
 net::Task<> RolloutClient::sendVotes() {
   for (;;) {
     const auto vote = co_await router_.nextVote();
-    const auto answer = co_await castVote(writeVoteForm(vote));
+    const auto answer = co_await castVote(vote);
     log_.debug("vote", {{"verdict", nameOf(vote.verdict)},
                         {"build", vote.build},
                         {"stage", vote.stage},
@@ -31,9 +31,9 @@
   }
 }
 
-net::Task<VoteAnswer> RolloutClient::castVote(std::string form) {
+net::Task<VoteAnswer> RolloutClient::castVote(Vote vote) {
   const net::Deadline until{sched_.now() + callTimeout_, nullptr};
-  auto request = http::writeRequest("POST", "/", "platform", form);
+  auto request = http::writeRequest("POST", "/", "platform", writeVoteForm(vote));
   auto response = co_await connection_.call(std::move(request), until);
   if (response) {
     const auto answer = readVoteAnswer(response->status, response->body);
--- a/src/control/rollout/rollout_client.h
+++ b/src/control/rollout/rollout_client.h
@@ -25,7 +25,7 @@
   net::Task<> keepConnectionOpen() { return connection_.keepOpen(); }
 
   // Casts one vote. VoteReply::timedOut: it may have counted; VoteReply::error: it did not.
-  net::Task<VoteAnswer> castVote(std::string form);
+  net::Task<VoteAnswer> castVote(Vote vote);
   // Votes and the event stream go to the new address at once.
   void moveTo(net::Address at);
 
