--- a/bench/names_bench.cpp
+++ b/bench/names_bench.cpp
@@ -44,7 +44,7 @@
                       {"10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250)});
   for (auto _ : state) {
     s.onSrvAnswer(0, DnsRecordsResult::records, targets, 60 * kSecond, kSecond);
-    benchmark::DoNotOptimize(s.merged(kSecond));
+    benchmark::DoNotOptimize(s.mergedEndpoints(kSecond));
   }
 }
 
--- a/lab/sizes.cpp
+++ b/lab/sizes.cpp
@@ -101,7 +101,7 @@
     const auto fill = [&](const std::vector<std::string> &names, const std::vector<int> &servers,
                           Holdings &out, double &time) {
       const double begun = cpuSeconds();
-      const auto held = s.held(names);
+      const auto held = s.select(names);
       time += cpuSeconds() - begun;
       for (std::size_t i = 0; i < held.size(); ++i)
         if (held[i]) out[static_cast<std::size_t>(m)].push_back(servers[i]);
@@ -153,7 +153,7 @@
     }
   };
   tell(0);
-  const auto first = s.merged(now).size();
+  const auto first = s.mergedEndpoints(now).size();
   constexpr int kRounds = 20;
   double told = 0, merged = 0;
   for (int round = 1; round <= kRounds; ++round) {
@@ -162,7 +162,7 @@
     tell(round * std::max(n / 100, 1));
     told += cpuSeconds() - begun;
     begun = cpuSeconds();
-    s.merged(now);
+    s.mergedEndpoints(now);
     merged += cpuSeconds() - begun;
   }
   fmt::print("merge of {:>6} servers, {:>6} held: {:.3f} ms to take in what was told, {:.3f} ms to merge\n",
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -101,7 +101,7 @@
   std::random_device device;
   const auto seed = (std::uint64_t{device()} << 32) | device();
   dns_discovery::DnsDiscovery discovery(sched, budget, merge, settings, seed, logs.of("names"), metrics);
-  discovery.onChange = [&] { merge.merged(sched.now()); };
+  discovery.onChange = [&] { merge.mergedEndpoints(sched.now()); };
   sched.spawn(discovery.run(dns_discovery::FirstLookups::immediate));
   sched.spawn(haltWhenSettled(sched, discovery, sched.now() + timeout));
   sched.run();
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -246,7 +246,7 @@
   needsPublishing_ = false;
   publishedAt_ = sched_.now();
   if (onChange) onChange();
-  const auto &statistics = merge_.figures();
+  const auto &statistics = merge_.statistics();
   Nanoseconds staleness = 0;
   for (const auto &question : sets_) {
     const Nanoseconds until = schedule_.goodUntil(question);
@@ -314,7 +314,7 @@
   // Guards the next start against half a state: one without any endpoint does not replace one that served,
   // and one whose addresses are still being looked up waits.
   const Nanoseconds interval = schedule_.inFlight() == 0 ? kSaveInterval : kSaveIntervalInFlight;
-  if (!hasUnsavedState_ || merge_.figures().endpoints == 0 || sched_.now() < savedAt_ + interval) return;
+  if (!hasUnsavedState_ || merge_.statistics().endpoints == 0 || sched_.now() < savedAt_ + interval) return;
   hasUnsavedState_ = false;
   savedAt_ = sched_.now();
   stateWriter_->submit(encodedState());
@@ -323,7 +323,7 @@
 void DnsDiscovery::saveAtExit() {
   if (stateWriter_ == nullptr) return;
   stateWriter_ = nullptr; // saves what was submitted first
-  if (merge_.figures().endpoints == 0) return;
+  if (merge_.statistics().endpoints == 0) return;
   const auto error = storage::save(statePath_, encodedState());
   if (error) log_.warning("the DNS state can't be saved", {{"why", error->text()}});
 }
--- a/src/policy/endpoint_merge.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -41,8 +41,8 @@
   return hosts_.onAnswer(host, result, std::move(addresses), settings_.lossRetention.confirmations);
 }
 
-void EndpointMerge::listed(const std::vector<Entry> &entries, bool whole, Nanoseconds now) {
-  list_.onUpdate(entries, whole ? ListUpdate::complete : ListUpdate::partial, now);
+void EndpointMerge::onEndpointList(const std::vector<Entry> &entries, ListUpdate kind, Nanoseconds now) {
+  list_.onUpdate(entries, kind, now);
 }
 
 void EndpointMerge::expireRetention(Nanoseconds now) {
@@ -87,7 +87,7 @@
       keys.push_back(&key);
       names.push_back(hostAndPort(key.first, key.second));
     }
-  const auto inSubset = targetSubset_.held(names);
+  const auto inSubset = targetSubset_.select(names);
   subsetTargets_.clear();
   usesAllTargets_ = std::find(inSubset.begin(), inSubset.end(), false) == inSubset.end();
   if (usesAllTargets_) return;
@@ -176,7 +176,7 @@
       listOnlyAddresses.push_back(entry.address);
     }
   }
-  const auto inSubset = listSubset_.held(listOnlyAddresses);
+  const auto inSubset = listSubset_.select(listOnlyAddresses);
   for (std::size_t i = 0; i < listOnly.size(); ++i)
     if (inSubset[i]) out.push_back(*listOnly[i]);
 }
@@ -230,7 +230,7 @@
   }
 }
 
-std::vector<Entry> EndpointMerge::merged(Nanoseconds now) {
+std::vector<Entry> EndpointMerge::mergedEndpoints(Nanoseconds now) {
   expireRetention(now);
   forgetGone(now);
   selectSubset();
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -68,19 +68,19 @@
   // The release that a host's TXT record gives; -1: none.
   void onReleaseAnswer(const std::string &host, int release) { hosts_.setRelease(host, release); }
 
-  void listed(const std::vector<Entry> &entries, bool whole, Nanoseconds now);
-  void listFailed() { list_.onFailed(); }
+  void onEndpointList(const std::vector<Entry> &entries, ListUpdate kind, Nanoseconds now);
+  void onEndpointListFailed() { list_.onFailed(); }
 
   // The merged set: endpoints in service and draining ones, each address once, ordered by name.
-  std::vector<Entry> merged(Nanoseconds now);
-  // When merged() changes without a new answer or update, at the earliest; always after `now`.
+  std::vector<Entry> mergedEndpoints(Nanoseconds now);
+  // When mergedEndpoints() changes without a new answer or update, at the earliest; always after `now`.
   Nanoseconds nextChange(Nanoseconds now) const;
   struct HostLookup {
     std::string host;
     bool needsRelease = false; // its TXT record is wanted too
   };
-  std::vector<HostLookup> hostsToResolve();                      // ordered by host
-  const MergeStatistics &figures() const { return statistics_; } // of the latest merged()
+  std::vector<HostLookup> hostsToResolve();                         // ordered by host
+  const MergeStatistics &statistics() const { return statistics_; } // of the latest mergedEndpoints()
 
   Snapshot snapshot() const;
   // Only sets whose names were added are restored; the list counts as down until its first update.
--- a/src/policy/priority_selector.cpp
+++ b/src/policy/priority_selector.cpp
@@ -5,48 +5,64 @@
 namespace myrtlehead::priority_selector {
 
 namespace {
-constexpr double kSpare = 1.4; // a group whose standing part times this is 1 carries all
-constexpr double kLate = 0.4,
-                 kInTime = 0.3; // of the objectives; before requests are shed, which begins at a half
-constexpr double kUp = 0.05, kDown = 0.02; // of the share, a period
-constexpr double kLearn = 0.05;            // an attempt
+
+// A group carries all requests if its healthy fraction times this is at least 1.
+constexpr double kOverprovisioning = 1.4;
+
+// Latency ratios above which requests are diverted, and below which they come back. Both lie under the ratio
+// at which requests are shed, a half.
+constexpr double kDivertAbove = 0.4;
+constexpr double kReturnBelow = 0.3;
+
+// Change of the diverted share in one period.
+constexpr double kDivertStep = 0.05;
+constexpr double kReturnStep = 0.02;
+
+constexpr double kLatencyWeight = 0.05; // of one attempt in the moving mean
+
+double healthyFraction(const PrioritySelector::Group &group) {
+  if (group.endpoints == 0) return 0;
+  const auto healthy = group.endpoints - std::min(group.ejected, group.endpoints);
+  return static_cast<double>(healthy) / static_cast<double>(group.endpoints);
+}
+
 } // namespace
 
-void PrioritySelector::finished(int group, double part) {
-  if (group < 0 || static_cast<std::size_t>(group) >= state_.size()) return;
-  auto &s = state_[static_cast<std::size_t>(group)];
-  s.lateness += kLearn * (part - s.lateness);
-  ++s.seen;
+void PrioritySelector::onAttemptFinished(int group, double fractionOfObjective) {
+  if (group < 0 || static_cast<std::size_t>(group) >= states_.size()) return;
+  auto &state = states_[static_cast<std::size_t>(group)];
+  state.latencyRatio += kLatencyWeight * (fractionOfObjective - state.latencyRatio);
+  ++state.attempts;
 }
 
 void PrioritySelector::observe(const std::vector<Group> &groups, Nanoseconds now) {
-  if (now - observedAt_ < kPeriod && groups.size() == state_.size()) return;
+  if (now - observedAt_ < kPeriod && groups.size() == states_.size()) return;
   observedAt_ = now;
-  state_.resize(groups.size());
+  states_.resize(groups.size());
   shares_.assign(groups.size(), 0);
-  double left = 1;
+  double unassigned = 1;
   std::size_t best = 0;
-  double bestCarries = -1;
+  double bestCapacity = -1;
   for (std::size_t i = 0; i < groups.size(); ++i) {
-    auto &s = state_[i];
-    if (s.lateness > kLate && s.seen > 0) s.turnedOn += kUp;
-    if (s.lateness < kInTime || s.seen == 0) s.turnedOn -= kDown;
-    s.turnedOn = std::clamp(s.turnedOn, 0.0, 1.0);
-    s.seen = 0;
-    const auto &g = groups[i];
-    const double stands = g.servers > 0 ? static_cast<double>(g.servers - std::min(g.resting, g.servers)) /
-                                              static_cast<double>(g.servers)
-                                        : 0;
-    const double carries = std::min(kSpare * stands, 1.0) * (1 - s.turnedOn);
-    if (carries > bestCarries) bestCarries = carries, best = i;
-    shares_[i] = left * carries;
-    left -= shares_[i];
+    auto &state = states_[i];
+    if (state.latencyRatio > kDivertAbove && state.attempts > 0) state.divertedShare += kDivertStep;
+    if (state.latencyRatio < kReturnBelow || state.attempts == 0) state.divertedShare -= kReturnStep;
+    state.divertedShare = std::clamp(state.divertedShare, 0.0, 1.0);
+    state.attempts = 0;
+    const double capacity = std::min(kOverprovisioning * healthyFraction(groups[i]), 1.0) *
+                            (1 - state.divertedShare);
+    if (capacity > bestCapacity) {
+      bestCapacity = capacity;
+      best = i;
+    }
+    shares_[i] = unassigned * capacity;
+    unassigned -= shares_[i];
   }
-  // What nobody can carry goes to whoever carries most: there it is shed, if it must be.
-  if (!groups.empty()) shares_[best] += left;
+  // What no group can carry goes to the one that carries most: there it is shed, if it must be.
+  if (!groups.empty()) shares_[best] += unassigned;
 }
 
-int PrioritySelector::pick(double draw) const {
+int PrioritySelector::select(double draw) const {
   for (std::size_t i = 0; i < shares_.size(); ++i) {
     if (draw < shares_[i]) return static_cast<int>(i);
     draw -= shares_[i];
--- a/src/policy/priority_selector.h
+++ b/src/policy/priority_selector.h
@@ -1,6 +1,6 @@
-// Which group of servers a request goes to, where name records put them in an order (RFC 2782, priority). A
-// group that is less preferred is used only in proportion as the better ones can't carry their requests. No
-// I/O; chance and time are arguments.
+// Which priority group of endpoints a request goes to, where SRV records order them (RFC 2782, priority). A
+// less preferred group is used only in proportion as the better ones can't carry their requests. No I/O;
+// randomness and time are arguments. Times are nanoseconds.
 #pragma once
 
 #include <cstddef>
@@ -13,29 +13,31 @@
 
 class PrioritySelector {
 public:
+  static constexpr Nanoseconds kPeriod = 100'000'000; // between updates of the shares
+
   struct Group {
-    std::size_t servers = 0, resting = 0; // in service, and of them out of use for now
+    std::size_t endpoints = 0; // in service
+    std::size_t ejected = 0;   // of them
   };
 
-  // The groups as they stand, best first. To be called every kPeriod, about.
+  // Updates the shares. `groups`: the best first. To be called about once in kPeriod; calls that come earlier
+  // have no effect unless the number of groups has changed.
   void observe(const std::vector<Group> &groups, Nanoseconds now);
-  // an attempt at a server of the group took this part of its route's latency objective.
-  void finished(int group, double partOfObjective);
-  // The group for a request, by a draw from [0, 1).
-  int pick(double draw) const;
+  // An attempt at an endpoint of the group took this fraction of its route's latency objective.
+  void onAttemptFinished(int group, double fractionOfObjective);
+  // The group for a request. `draw`: random, from [0, 1).
+  int select(double draw) const;
   double share(int group) const { return shares_.empty() ? 1 : shares_[static_cast<std::size_t>(group)]; }
-  std::size_t groups() const { return state_.size(); }
-
-  static constexpr Nanoseconds kPeriod = 100'000'000;
+  std::size_t groupCount() const { return states_.size(); }
 
 private:
   struct State {
-    double lateness = 0; // of late: mean part of the objective that attempts take
-    double seen = 0;     // attempts since the last observation
-    double turnedOn = 0; // share that it can't carry for being late
+    double latencyRatio = 0;  // moving mean: fraction of the objective that attempts take
+    double attempts = 0;      // since the latest update
+    double divertedShare = 0; // of the group's requests, that others take because it is slow
   };
-  std::vector<State> state_;
-  std::vector<double> shares_;
+  std::vector<State> states_;
+  std::vector<double> shares_; // by group, of all requests
   Nanoseconds observedAt_ = 0;
 };
 
--- a/src/policy/subsetting.h
+++ b/src/policy/subsetting.h
@@ -1,6 +1,7 @@
-// Which servers of a large set one instance holds. Each server ranks all instances by rendezvous hashing
-// (xxHash) and is held by the first few, as many for every server: so all servers have the same number of
-// instances, and a server or instance that comes or goes moves its own connections and no others. No I/O.
+// Which endpoints of a large set one instance uses. Each endpoint ranks all instances by rendezvous hashing
+// (xxHash) and is used by the first few of them, the same number for every endpoint: so each endpoint has
+// connections from equally many instances, and an endpoint or instance that comes or goes moves its own
+// connections and no others. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +13,26 @@
 
 class Subset {
 public:
-  // `me` of `instances`, numbered from 0; `size`: servers to hold, about. 0: all.
+  // The instance `ownIndex` of `instanceCount`, counted from 0. `size`: endpoints to use, about; 0: all.
   Subset(int instanceCount, int ownIndex, int size);
 
-  // By the order of `servers`, which are distinct names: whether this instance holds it. All, where the set
-  // is no larger than twice the size; at least half of the size otherwise.
-  std::vector<bool> held(const std::vector<std::string> &servers);
-  int marshalsEach() const { return each_; }       // that hold a server
-  std::uint64_t ranked() const { return ranked_; } // servers whose order of instances was computed, ever
+  // For each of `endpoints`, which are distinct names, whether this instance uses it. All are used where
+  // there are at most twice `size`; otherwise at least half of `size`.
+  std::vector<bool> select(const std::vector<std::string> &endpoints);
+  int instancesPerEndpoint() const { return instancesPerEndpoint_; } // 0: every instance uses all
+  // How many endpoints this instance's rank was computed for, ever. For tests of the cache.
+  std::uint64_t ranksComputed() const { return ranksComputed_; }
 
 private:
-  int rankOfMe(const std::string &server) const;
-  std::vector<std::uint64_t> keys_; // by instance
-  int ownIndex_, size_, each_ = 0;
-  std::map<std::string, int> rank_; // of this instance with a server, for the servers of the last set
-  std::uint64_t ranked_ = 0;
+  int computeOwnRank(const std::string &endpoint) const;
+  void updateInstancesPerEndpoint(std::size_t endpointCount);
+
+  std::vector<std::uint64_t> instanceKeys_; // hashes, by instance
+  int ownIndex_;
+  int size_;
+  int instancesPerEndpoint_ = 0;
+  std::map<std::string, int> ownRanks_; // for the endpoints of the latest set
+  std::uint64_t ranksComputed_ = 0;
 };
 
 } // namespace myrtlehead::subsetting
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -60,7 +60,7 @@
                                                  sched::CancellationToken &cancellation) {
   if (cancellation.isCancelled()) co_return AttemptDecision{}; // nobody waits for it any more
   auto &request = context.request_;
-  if (prioritySelector_.groups() > 1) request.priorityGroup = prioritySelector_.pick(drawForGroups());
+  if (prioritySelector_.groupCount() > 1) request.priorityGroup = prioritySelector_.select(drawForGroups());
   for (;;) {
     const auto decision = policy_.route(request, now());
     if (decision.action != RoutingDecision::wait) co_return toAttempt(context, decision);
@@ -75,12 +75,12 @@
   const Nanoseconds duration = now() - request.attempts[last].sentAt;
   const auto &deployment = policy_.deployment();
   const bool tellsLatency = outcome == Outcome::succeeded || outcome == Outcome::timedOut;
-  if (prioritySelector_.groups() > 1 && tellsLatency) {
+  if (prioritySelector_.groupCount() > 1 && tellsLatency) {
     const auto &route = deployment.routes[static_cast<std::size_t>(request.route)];
     const auto objective = std::max<Nanoseconds>(route.latencyObjective, 1);
-    prioritySelector_.finished(context.endpoint_->endpoint->info.priorityGroup,
-                               static_cast<double>(duration) / static_cast<double>(objective));
-    request.priorityGroup = prioritySelector_.pick(drawForGroups());
+    prioritySelector_.onAttemptFinished(context.endpoint_->endpoint->info.priorityGroup,
+                                        static_cast<double>(duration) / static_cast<double>(objective));
+    request.priorityGroup = prioritySelector_.select(drawForGroups());
   }
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->endpoint;
@@ -144,13 +144,14 @@
 
 void Router::onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete) {
   if (merge_ == nullptr) return applyUpdates(entries, isComplete);
-  merge_->listed(entries, isComplete, now());
-  applyUpdates(merge_->merged(now()), true);
+  using endpoint_merge::ListUpdate;
+  merge_->onEndpointList(entries, isComplete ? ListUpdate::complete : ListUpdate::partial, now());
+  applyUpdates(merge_->mergedEndpoints(now()), true);
 }
 
 void Router::mergeWith(endpoint_merge::EndpointMerge &merge) { merge_ = &merge; }
 
-void Router::onMergeChanged() { applyUpdates(merge_->merged(now()), true); }
+void Router::onMergeChanged() { applyUpdates(merge_->mergedEndpoints(now()), true); }
 
 // Guards an endpoint that list and DNS records name differently: it keeps its state where the name that leads
 // changes.
@@ -174,14 +175,14 @@
 // Only where there is more than one group.
 void Router::observePriorityGroups() {
   if (merge_ == nullptr) return;
-  const auto groups = merge_->figures().priorityGroups;
-  if (prioritySelector_.groups() <= 1 && groups <= 1) return;
+  const auto groups = merge_->statistics().priorityGroups;
+  if (prioritySelector_.groupCount() <= 1 && groups <= 1) return;
   std::vector<priority_selector::PrioritySelector::Group> observed(std::max<std::size_t>(groups, 1));
   for (const auto *endpoint : policy_.readyEndpoints()) {
     const auto index = static_cast<std::size_t>(endpoint->info.priorityGroup);
     auto &group = observed[std::min(index, observed.size() - 1)];
-    ++group.servers;
-    group.resting += endpoint->health.ejectedUntil > now();
+    ++group.endpoints;
+    group.ejected += endpoint->health.ejectedUntil > now();
   }
   prioritySelector_.observe(observed, now());
 }
@@ -218,7 +219,7 @@
 
 void Router::onListClosed(discovery_subscription::Ended how, discovery_subscription::Others others,
                           bool isLast) {
-  if (merge_ != nullptr && isLast) merge_->listFailed();
+  if (merge_ != nullptr && isLast) merge_->onEndpointListFailed();
   subscription_.ended(how, others, now(), drawForList());
   listRequestChanged_.notify();
   runDueTasks();
