--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -93,14 +93,15 @@
   for (const auto &name : names) settings.sets.push_back({name, -1, -1});
   sched::Scheduler sched;
   net::DescriptorBudget budget(kMaxDescriptors);
-  log::Logs logs(STDERR_FILENO, log::Form::text, std::move(levels));
+  log::Logs logs(STDERR_FILENO, log::Format::text, std::move(levels));
   prometheus::Registry registry;
   dns_discovery::DnsMetrics metrics(registry);
   endpoint_merge::EndpointMerge merge(settings.merge, settings.resolution.staleTime, 0,
                                       subsetting::Subset(1, 0, 0));
   std::random_device device;
   const auto seed = (std::uint64_t{device()} << 32) | device();
-  dns_discovery::DnsDiscovery discovery(sched, budget, merge, settings, seed, logs.of("names"), metrics);
+  dns_discovery::DnsDiscovery discovery(sched, budget, merge, settings, seed, logs.forPackage("names"),
+                                        metrics);
   discovery.onChange = [&] { merge.mergedEndpoints(sched.now()); };
   sched.spawn(discovery.run(dns_discovery::FirstLookups::immediate));
   sched.spawn(haltWhenSettled(sched, discovery, sched.now() + timeout));
@@ -115,7 +116,7 @@
     fmt::print("{}\n", out.dump(2));
   else
     print(out);
-  sched.endAll();
+  sched.destroyAllTasks();
   return anyKnown ? 0 : 1;
 }
 
--- a/src/control/dns/query_client.cpp
+++ b/src/control/dns/query_client.cpp
@@ -29,8 +29,8 @@
 net::Task<QueryResult> queryOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
                                     const dns::Sent &sent, net::Deadline deadline) {
   QueryResult result;
-  const auto socket = net::datagramsTo(sched, budget, server);
-  if (socket == nullptr || !socket->writeNow(dns::writeQuery(sent))) {
+  const auto socket = net::connectUdp(sched, budget, server);
+  if (socket == nullptr || !socket->tryWrite(dns::writeQuery(sent))) {
     result.error = QueryError::unreachable;
     co_return result;
   }
@@ -82,7 +82,7 @@
   message.insert(message.begin(), {static_cast<char>(size >> 8), static_cast<char>(size & 0xff)});
   connection->pending[sent.id] = &pending;
   // Written at once or not at all: half a query would spoil those behind it.
-  if (!connection->socket->writeNow(message)) close(*connection, QueryError::connectionLost);
+  if (!connection->socket->tryWrite(message)) close(*connection, QueryError::connectionLost);
   if (!pending.isDone) {
     const auto wakeReason = co_await sched_.wait(pending.done, deadline);
     if (wakeReason != sched::WakeReason::notified) {
