--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -181,7 +181,7 @@
   if (!failure_.empty()) throw std::runtime_error(failure_);
   auto out = makeReport(
       {scenario_, *fleet_, dns_.get(), loads_, *rules_, startedAt_, cpuSeconds_, residentKb_});
-  sched.destroyAllTasks();
+  sched_.destroyAllTasks();
   return out;
 }
 
