--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -47,8 +47,8 @@
                                subsetting::Subset(config.deployment.instanceCount, config.deployment.ownIndex,
                                                   settings.dns.subset)),
       discovery(sched, budget, merge, settings.dns, config.seed + kDnsSeedOffset, std::move(log), metrics) {
-  router.mergeWith(merge);
-  discovery.onChange = [&router] { router.onMergeChanged(); };
+  router.setEndpointMerge(merge);
+  discovery.onChange = [&router] { router.onEndpointMergeChanged(); };
   if (!settings.stateFolder.empty())
     discovery.openStateFile(settings.stateFolder + "/names", {"names", config.name},
                             unixTimeAtZero(sched.now()));
@@ -118,7 +118,7 @@
   sched_.spawn(rolloutClient_.keepConnectionOpen());
   sched_.spawn(rolloutClient_.sendVotes());
   sched_.spawn(rolloutClient_.followEventStream());
-  sched_.spawn(connectionPool_.sweep());
+  sched_.spawn(connectionPool_.sweepIdleConnections());
   if (peerTransport_) {
     sched_.spawn(peerTransport_->send());
     sched_.spawn(peerTransport_->receive());
@@ -131,8 +131,8 @@
     sched_.spawn(metricsServer_->accept());
   }
   if (clusterMember_) clusterMember_->start();
-  sched_.spawn(listener_->accept());
-  sched_.spawn(listener_->sweep());
+  sched_.spawn(listener_->acceptConnections());
+  sched_.spawn(listener_->sweepIdleConnections());
   sched_.spawn(applyReloads(sched_, *reloadableParts_, reloadRequest_, log_));
   sched_.spawn(handleSignals(sched_, signals_, *listener_, clusterMember_.get(), reloadRequest_, log_));
 }
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -33,7 +33,7 @@
   log.info("asked to end: answers what it has taken");
   // First the cluster member: attempts of its jobs may need descriptors that closing the listener takes.
   if (clusterMember != nullptr) co_await clusterMember->shutdown();
-  co_await listener.close();
+  co_await listener.shutDown();
   log.info("ended");
   sched.halt();
 }
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -53,7 +53,7 @@
                                           [&] { return router_.isStillCurrent(request); });
     lastOutcome = attempt.outcome;
     mayHaveExecuted = mayHaveExecuted || !neverExecuted(lastOutcome);
-    if (!attempt.loads.empty()) router_.onLoadReport(request, attempt.loads);
+    if (!attempt.loadValues.empty()) router_.onLoadReport(request, attempt.loadValues);
     if (cancellation.isCancelled()) router_.onClientDisconnected(request);
     decision = router_.onAttemptFinished(request, lastOutcome);
     if (lastOutcome == Outcome::succeeded) co_return resultOf(ExecutionOutcome::succeeded, "");
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -29,7 +29,7 @@
 
 net::Task<> EndpointWatch::run() {
   for (;;) {
-    co_await router_.nextListRequest();
+    co_await router_.awaitListPollDue();
     if (!calls_.empty())
       log_.info("polls discovery again while an earlier watch is open", {{"index", listIndex_}});
     startCall();
@@ -40,7 +40,7 @@
   if (at == at_) return;
   at_ = at;
   ++addressVersion_;
-  router_.onDiscoveryMoved();
+  router_.onDiscoveryAddressChanged();
 }
 
 // Guards against a gap in the updates: a new call may get no answer, and an older one may be about to end, so
@@ -85,7 +85,7 @@
   calls_.erase(number);
   if (superseded->isCancelled()) co_return;
   log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", exchange.head().status}});
-  router_.onListClosed(classifyEnd(poll, cause, call->hasMessage), otherCalls(), calls_.empty());
+  router_.onListCallEnded(classifyEnd(poll, cause, call->hasMessage), otherCalls(), calls_.empty());
 }
 
 // Takes the whole lines off `received`. An empty line is a keep-alive.
@@ -97,8 +97,8 @@
       if (error != net::ErrorCode::none) return error;
     }
     call.hasMessage = true;
-    router_.onListMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
-                                                   : MessageSource::formerAddress);
+    router_.onWatchMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
+                                                    : MessageSource::formerAddress);
     cancelOlderCalls(number);
   }
   return net::ErrorCode::none;
--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -97,8 +97,8 @@
                                                    [&] { return router.isStillCurrent(call); });
     listener_.log_.debug("attempt", {{"endpoint", endpoint->name},
                                      {"outcome", nameOf(result.outcome)},
-                                     {"load_fields", result.loads.size()}});
-    if (!result.loads.empty()) router.onLoadReport(call, result.loads);
+                                     {"load_fields", result.loadValues.size()}});
+    if (!result.loadValues.empty()) router.onLoadReport(call, result.loadValues);
     if (clientGone_.isCancelled()) router.onClientDisconnected(call);
     decision = router.onAttemptFinished(call, result.outcome);
     if (result.outcome != Outcome::succeeded) continue;
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -79,7 +79,7 @@
 }
 
 // Guards descriptors and memory against clients that ask once, or never, and keep their connection.
-net::Task<> Listener::sweep() {
+net::Task<> Listener::sweepIdleConnections() {
   for (;;) {
     co_await sched_.sleep(kSweepInterval);
     for (auto it = idle_.begin(); it != idle_.end();) {
@@ -106,7 +106,7 @@
   sched_.spawn(runSession(std::move(session), decision));
 }
 
-net::Task<> Listener::accept() {
+net::Task<> Listener::acceptConnections() {
   while (!acceptEnd_.isCancelled()) {
     if (budget_.available() <= budget_.limit() / kLastReserveDivisor) {
       closeOneIdle();
@@ -159,7 +159,7 @@
   for (auto *session : all_) session->closeWhenAnswered();
 }
 
-net::Task<> Listener::close() {
+net::Task<> Listener::shutDown() {
   shutdown_.begin(sched_.now());
   co_await sched_.sleep(shutdown_.acceptsUntil() - sched_.now());
   acceptEnd_.cancel();
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -25,13 +25,13 @@
            std::vector<std::string> routes, std::vector<Nanoseconds> routeTimeouts,
            std::size_t messageMemory);
 
-  // Accepts connections until close().
-  net::Task<> accept();
+  // Accepts connections until shutDown() stops it.
+  net::Task<> acceptConnections();
   // Closes what has been idle too long, for as long as the instance runs.
-  net::Task<> sweep();
+  net::Task<> sweepIdleConnections();
   // Shuts down: new connections and requests are still accepted for a while, and then those in the backlog;
   // after that idle connections are closed, the others as they are answered. Returns when none is left.
-  net::Task<> close();
+  net::Task<> shutDown();
   net::Address address() const { return net::localAddress(*socket_); }
 
 private:
@@ -55,7 +55,7 @@
   std::vector<Nanoseconds> routeTimeouts_;
   net::MemoryBudget messageMemory_; // for large messages
   std::unique_ptr<net::Socket> socket_;
-  sched::CancellationToken acceptEnd_; // ends accept()
+  sched::CancellationToken acceptEnd_; // ends acceptConnections()
   graceful_shutdown::GracefulShutdown shutdown_;
   bool isShortOfDescriptors_ = false;
   std::uint32_t sessionCount_ = 0; // since the start
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -78,12 +78,12 @@
   if (prioritySelector_.groupCount() > 1 && tellsLatency) {
     const auto &route = deployment.routes[static_cast<std::size_t>(request.route)];
     const auto objective = std::max<Nanoseconds>(route.latencyObjective, 1);
-    prioritySelector_.onAttemptFinished(context.endpoint_->endpoint->info.priorityGroup,
+    prioritySelector_.onAttemptFinished(context.endpoint_->policyEndpoint->info.priorityGroup,
                                         static_cast<double>(duration) / static_cast<double>(objective));
     request.priorityGroup = prioritySelector_.select(drawForGroups());
   }
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
-    auto &endpoint = *context.endpoint_->endpoint;
+    auto &endpoint = *context.endpoint_->policyEndpoint;
     gossip_.onOutcome(endpoint.fingerprint, outcome);
     endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
   }
@@ -103,10 +103,10 @@
 void Router::onLoadReport(const RequestContext &context, const std::vector<float> &values) {
   const auto *endpoint = context.endpoint_;
   if (endpoint != nullptr && endpoint->version == context.endpointVersion_)
-    policy_.onLoadReport(*endpoint->endpoint, values, now());
+    policy_.onLoadReport(*endpoint->policyEndpoint, values, now());
 }
 
-sched::Task<> Router::nextListRequest() {
+sched::Task<> Router::awaitListPollDue() {
   while (now() < subscription_.nextCallAt())
     co_await sched_.wait(listRequestChanged_, {subscription_.nextCallAt(), nullptr});
   subscription_.onCallSent(now());
@@ -118,8 +118,8 @@
   known = &reuseOrAddEndpoint();
   known->name = name;
   known->lastReadyAt = now();
-  known->endpoint->id = known->index;
-  known->endpoint->fingerprint = fingerprintOf(name);
+  known->policyEndpoint->id = known->index;
+  known->policyEndpoint->fingerprint = fingerprintOf(name);
   return *known;
 }
 
@@ -127,18 +127,19 @@
 // any request lasts, and that no attempt is in flight at, is reused for the next name.
 UpstreamEndpoint &Router::reuseOrAddEndpoint() {
   const auto unused = std::find_if(endpoints_.begin(), endpoints_.end(), [&](const UpstreamEndpoint &each) {
-    return !each.isReady && each.endpoint->inFlight == 0 && now() - each.lastReadyAt >= kEndpointRetention;
+    return !each.isReady && each.policyEndpoint->inFlight == 0 &&
+           now() - each.lastReadyAt >= kEndpointRetention;
   });
   if (unused != endpoints_.end()) {
     byName_.erase(unused->name);
-    *unused->endpoint = Endpoint{};
+    *unused->policyEndpoint = Endpoint{};
     ++unused->version;
     return *unused;
   }
   auto &added = endpoints_.emplace_back();
   added.index = endpoints_.size() - 1;
-  added.endpoint = &policy_.addEndpoint();
-  byEndpoint_[added.endpoint] = &added;
+  added.policyEndpoint = &policy_.addEndpoint();
+  byEndpoint_[added.policyEndpoint] = &added;
   return added;
 }
 
@@ -149,9 +150,9 @@
   applyUpdates(merge_->mergedEndpoints(now()), true);
 }
 
-void Router::mergeWith(endpoint_merge::EndpointMerge &merge) { merge_ = &merge; }
+void Router::setEndpointMerge(endpoint_merge::EndpointMerge &merge) { merge_ = &merge; }
 
-void Router::onMergeChanged() { applyUpdates(merge_->mergedEndpoints(now()), true); }
+void Router::onEndpointMergeChanged() { applyUpdates(merge_->mergedEndpoints(now()), true); }
 
 // Guards an endpoint that list and DNS records name differently: it keeps its state where the name that leads
 // changes.
@@ -191,40 +192,40 @@
   if (merge_ != nullptr) adoptLeadingNames(entries);
   for (const auto &entry : entries) {
     auto &known = endpointNamed(entry.name);
-    const auto &before = known.endpoint->info;
+    const auto &before = known.policyEndpoint->info;
     const auto &after = entry.info;
     const bool isChanged = before.build != after.build || before.startedAt != after.startedAt ||
                            before.state != after.state || known.address != entry.address;
     if (!known.isReady || isChanged) {
       ++known.version;
-      gossip_.onEndpointReplaced(known.endpoint->fingerprint);
-      known.endpoint->health.suspectUntilByPeers = 0;
+      gossip_.onEndpointReplaced(known.policyEndpoint->fingerprint);
+      known.policyEndpoint->health.suspectUntilByPeers = 0;
     }
     known.address = entry.address;
-    policy_.onEndpointUpdate(*known.endpoint, after, now());
+    policy_.onEndpointUpdate(*known.policyEndpoint, after, now());
   }
   policy_.onEndpointListComplete(isComplete);
   for (auto &known : endpoints_) {
-    if (known.isReady && !known.endpoint->isReady) ++known.version; // left out of a complete list
-    known.isReady = known.endpoint->isReady;
+    if (known.isReady && !known.policyEndpoint->isReady) ++known.version; // left out of a complete list
+    known.isReady = known.policyEndpoint->isReady;
     if (known.isReady) known.lastReadyAt = now();
   }
   runDueTasks();
 }
 
-void Router::onListMessage(MessageSource source) {
+void Router::onWatchMessage(MessageSource source) {
   subscription_.onMessage(source, now(), drawForList());
   listRequestChanged_.notify();
 }
 
-void Router::onListClosed(CallEnd end, OtherCalls others, bool isLast) {
+void Router::onListCallEnded(CallEnd end, OtherCalls others, bool isLast) {
   if (merge_ != nullptr && isLast) merge_->onEndpointListFailed();
   subscription_.onClosed(end, others, now(), drawForList());
   listRequestChanged_.notify();
   runDueTasks();
 }
 
-void Router::onDiscoveryMoved() {
+void Router::onDiscoveryAddressChanged() {
   subscription_.onMoved(now(), drawForList());
   listRequestChanged_.notify();
 }
@@ -256,7 +257,7 @@
 }
 
 void Router::onWrongAnswerReport(const std::string &name, Nanoseconds sentAgo) {
-  if (auto *known = findEndpoint(name)) policy_.onWrongAnswerReport(*known->endpoint, sentAgo, now());
+  if (auto *known = findEndpoint(name)) policy_.onWrongAnswerReport(*known->policyEndpoint, sentAgo, now());
 }
 
 sched::Task<PeerMessage> Router::nextPeerMessage() {
@@ -281,8 +282,8 @@
 void Router::applyGossip(const GossipMessage &message) {
   for (const auto &observed : message.observations)
     for (auto &known : endpoints_)
-      if (known.endpoint->fingerprint == observed.fingerprint)
-        known.endpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
+      if (known.policyEndpoint->fingerprint == observed.fingerprint)
+        known.policyEndpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListTrust() {
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -22,12 +22,12 @@
 // An endpoint as network code knows it.
 struct UpstreamEndpoint {
   std::string name;
-  std::string address;          // IP address and port
-  std::size_t index = 0;        // in the order in which endpoints were first listed
-  std::uint64_t version = 0;    // grows with each change of its build, start, state or address
-  bool isReady = false;         // by the latest list
-  Nanoseconds lastReadyAt = 0;  // when it was last listed as ready, or was first met
-  Endpoint *endpoint = nullptr; // as the decisions know it
+  std::string address;                // IP address and port
+  std::size_t index = 0;              // in the order in which endpoints were first listed
+  std::uint64_t version = 0;          // grows with each change of its build, start, state or address
+  bool isReady = false;               // by the latest list
+  Nanoseconds lastReadyAt = 0;        // when it was last listed as ready, or was first met
+  Endpoint *policyEndpoint = nullptr; // as the decisions know it
 };
 
 // RoutingDecision for network code: any waiting has been done, and the timeout is a deadline.
@@ -76,21 +76,21 @@
   // The endpoint list.
 
   // Returns when the list must be polled, and records the poll.
-  sched::Task<> nextListRequest();
+  sched::Task<> awaitListPollDue();
   // isComplete: endpoints that are not among the entries are gone.
   void onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete);
   // Any message of an open watch.
-  void onListMessage(MessageSource source);
+  void onWatchMessage(MessageSource source);
   // A call for the list or a watch has ended. isLast: nothing else is open.
-  void onListClosed(CallEnd end, OtherCalls others, bool isLast);
-  void onDiscoveryMoved();
+  void onListCallEnded(CallEnd end, OtherCalls others, bool isLast);
+  void onDiscoveryAddressChanged();
   UpstreamEndpoint *findEndpoint(const std::string &name);
 
   // From now on the list goes through the merge, which adds the endpoints of DNS records and must live as
   // long.
-  void mergeWith(endpoint_merge::EndpointMerge &merge);
+  void setEndpointMerge(endpoint_merge::EndpointMerge &merge);
   // The merge holds something new, or its time has come.
-  void onMergeChanged();
+  void onEndpointMergeChanged();
 
   // The rollout.
   sched::Task<Vote> nextVote();
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -223,8 +223,8 @@
   constexpr std::size_t kMaxLoggedBytes = 100;
   std::string_view name, value;
   if (!pg::takeText(body, name) || !pg::takeText(body, value) || name != "load") return;
-  out.loads = parseLoadReport(value, loadFields_);
-  if (!out.loads.empty() || loadFields_.empty() || hasLoggedBadLoadReport_) return;
+  out.loadValues = parseLoadReport(value, loadFields_);
+  if (!out.loadValues.empty() || loadFields_.empty() || hasLoggedBadLoadReport_) return;
   hasLoggedBadLoadReport_ = true;
   log_.warning("a load report lacks a field or can't be read",
                {{"report", value.substr(0, kMaxLoggedBytes)}});
@@ -302,7 +302,7 @@
   idle.connections.push_back(std::move(connection));
 }
 
-net::Task<> ConnectionPool::sweep() {
+net::Task<> ConnectionPool::sweepIdleConnections() {
   constexpr Nanoseconds kSweepInterval = kSecond;
   for (;;) {
     co_await sched_.sleep(kSweepInterval);
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -19,7 +19,7 @@
 struct AttemptResult {
   Outcome outcome = Outcome::unreachable;
   std::string answer;            // succeeded: the row as the endpoint wrote it, to be passed on
-  std::vector<float> loads;      // the endpoint's load report, in the order of the deployment's fields
+  std::vector<float> loadValues; // the endpoint's load report, in the order of the deployment's fields
   net::MemoryReservation memory; // of a large answer, until it has been passed on
 };
 
@@ -47,7 +47,7 @@
                                    net::Deadline deadline, Nanoseconds sendBy,
                                    std::function<bool()> isStillCurrent);
   // Closes connections that have been idle too long or have ended, for as long as the instance runs.
-  net::Task<> sweep();
+  net::Task<> sweepIdleConnections();
   // Frees a descriptor; false: no connection is idle.
   bool closeOldestIdle();
 
