--- a/lab/starts.cpp
+++ b/lab/starts.cpp
@@ -29,7 +29,7 @@
     dns.additional = true;
     dns.mostUdp = 4096;
     naming.servers = {dns.address()};
-    naming.sets = {{"_pg._tcp.maps.example", 1, -1}};
+    naming.srvNames = {{"_pg._tcp.maps.example", 1, -1}};
     if (!jitter) {
       naming.startSpread = 0;
       naming.resolution.minRefreshFraction = naming.resolution.maxRefreshFraction = 0.85;
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -45,7 +45,7 @@
                    const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log)
     : metrics(registry), merge(settings.dns.merge, settings.dns.resolution.staleTime, config.deployment.zone,
                                subsetting::Subset(config.deployment.instanceCount, config.deployment.ownIndex,
-                                                  settings.dns.subset)),
+                                                  settings.dns.subsetSize)),
       discovery(sched, budget, merge, settings.dns, config.seed + kDnsSeedOffset, std::move(log), metrics) {
   router.mergeWith(merge);
   discovery.onChange = [&router] { router.onMergeChanged(); };
@@ -69,9 +69,9 @@
                      config.controlCallTimeout),
       connectionPool_(sched_, budget_, nodesLog_, config.connectTimeout, config.idleTimeout,
                       config.loadReportNames, config.memoryBytes / kLargeMessageMemoryDivisor),
-      dns_(settings.dns.sets.empty() ? nullptr
-                                     : std::make_unique<DnsParts>(sched_, budget_, router_, config, settings,
-                                                                  logs_.forPackage("names"))),
+      dns_(settings.dns.srvNames.empty() ? nullptr
+                                         : std::make_unique<DnsParts>(sched_, budget_, router_, config,
+                                                                      settings, logs_.forPackage("names"))),
       metricsServer_(!settings.metricsAddress ? nullptr
                                               : std::make_unique<admin::MetricsServer>(
                                                     sched_, budget_, dns_ ? dns_->registry : emptyRegistry_,
@@ -94,7 +94,7 @@
 
 // The endpoint list and the rollout's state that the configuration brings along.
 void Instance::applyKnownState() {
-  if (hasKnownEndpoints(config_) && !endpointWatch_.loadKnownList(config_.knownEndpoints))
+  if (hasKnownEndpoints(config_) && !endpointWatch_.applyInitialList(config_.knownEndpoints))
     throw bootstrap::ConfigError("the configuration's 'known' is no list of nodes");
   if (const auto state = rollout::readRolloutState(config_.rolloutState))
     router_.onRolloutState(*state);
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -20,7 +20,7 @@
 sched::Task<> haltWhenSettled(sched::Scheduler &sched, const dns_discovery::DnsDiscovery &discovery,
                               sched::Nanoseconds deadline) {
   do co_await sched.sleep(kPollInterval);
-  while (!discovery.hasSettled() && sched.now() < deadline);
+  while (!discovery.hasCompletedFirstLookups() && sched.now() < deadline);
   sched.halt();
 }
 
@@ -31,9 +31,9 @@
   const auto &schedule = discovery.schedule();
   const auto *state = kStates[static_cast<int>(schedule.freshness(question, now))];
   nlohmann::json out{{"name", name}, {"state", state}};
-  if (schedule.goodAt(question) != 0) {
-    out["age_ms"] = (now - schedule.goodAt(question)) / kMillisecond;
-    out["lifetime_left_ms"] = (schedule.goodUntil(question) - now) / kMillisecond;
+  if (schedule.answeredAt(question) != 0) {
+    out["age_ms"] = (now - schedule.answeredAt(question)) / kMillisecond;
+    out["lifetime_left_ms"] = (schedule.validUntil(question) - now) / kMillisecond;
   }
   if (!discovery.lastFailure(index).empty()) out["cause"] = discovery.lastFailure(index);
   return out;
@@ -51,16 +51,16 @@
       const auto host = std::find_if(snapshot.hosts.begin(), snapshot.hosts.end(),
                                      [&](const auto &known) { return known.name == target.host; });
       if (host == snapshot.hosts.end()) continue;
-      const auto addressesUntil = std::max(schedule.goodUntil({target.host, dns::Type::a}),
-                                           schedule.goodUntil({target.host, dns::Type::aaaa}));
+      const auto addressesUntil = std::max(schedule.validUntil({target.host, dns::Type::a}),
+                                           schedule.validUntil({target.host, dns::Type::aaaa}));
       for (const auto &address : host->addresses)
         out.push_back({{"name", target.host},
                        {"address", address + ":" + std::to_string(target.port)},
                        {"priority", target.priority},
                        {"weight", target.weight},
                        {"build", host->release < 0 ? "unknown" : std::to_string(host->release)},
-                       {"lifetime_left_ms", (std::min(set.goodUntil, addressesUntil) - now) / kMillisecond},
-                       {"age_ms", (now - set.goodAt) / kMillisecond},
+                       {"lifetime_left_ms", (std::min(set.validUntil, addressesUntil) - now) / kMillisecond},
+                       {"age_ms", (now - set.answeredAt) / kMillisecond},
                        {"source", set.name}});
     }
   return out;
@@ -90,7 +90,7 @@
             sched::Nanoseconds timeout, bool json, log::Levels levels) {
   dns_discovery::DnsSettings settings;
   settings.servers = servers;
-  for (const auto &name : names) settings.sets.push_back({name, -1, -1});
+  for (const auto &name : names) settings.srvNames.push_back({name, -1, -1});
   sched::Scheduler sched;
   net::DescriptorBudget budget(kMaxDescriptors);
   log::Logs logs(STDERR_FILENO, log::Format::text, std::move(levels));
--- a/src/app/settings/settings.cpp
+++ b/src/app/settings/settings.cpp
@@ -74,7 +74,7 @@
   }
   if (set.name.empty())
     faults.push_back({static_cast<int>(in.source().begin.line), path + "name", "expected, but missing"});
-  out.sets.push_back(std::move(set));
+  out.srvNames.push_back(std::move(set));
 }
 
 void readSets(TableReader &reader, const std::vector<std::string> &zones, dns_discovery::DnsSettings &out,
@@ -116,11 +116,11 @@
   reader.duration("stale_most", 0, 30 * kDay, dns.resolution.staleTime);
   reader.duration("loss_hold", 0, 3600 * kSecond, dns.merge.lossRetention.retentionTime);
   reader.duration("departed_for", kSecond, 7 * kDay, dns.merge.departedMemoryTime);
-  reader.integer("subset", 0, 20'000, dns.subset);
+  reader.integer("subset", 0, 20'000, dns.subsetSize);
   const int line = static_cast<int>(in.source().begin.line);
   if (dns.resolution.minTtl > dns.resolution.maxTtl)
     faults.push_back({line, "names.least_lifetime", "is above most_lifetime"});
-  if (dns.servers.empty() != dns.sets.empty())
+  if (dns.servers.empty() != dns.srvNames.empty())
     faults.push_back({line, "names", "expected both 'servers' and [[names.set]], or neither"});
 }
 
@@ -173,8 +173,8 @@
   differs(from.logForm != to.logForm, "log.form");
   differs(from.metricsAddress != to.metricsAddress, "metrics.listen");
   differs(from.stateFolder != to.stateFolder, "state.folder");
-  differs(from.dns.sets != to.dns.sets, "names.set");
-  differs(from.dns.subset != to.dns.subset, "names.subset");
+  differs(from.dns.srvNames != to.dns.srvNames, "names.set");
+  differs(from.dns.subsetSize != to.dns.subsetSize, "names.subset");
   differs(!(from.dns.resolution == to.dns.resolution) || !(from.dns.merge == to.dns.merge),
           "names' durations");
   differs(from.cluster != to.cluster, "fleet");
--- a/src/control/discovery/endpoint_list.cpp
+++ b/src/control/discovery/endpoint_list.cpp
@@ -108,9 +108,9 @@
   return "";
 }
 
-std::variant<EndpointList, ListError> readList(const Value &in, const std::vector<std::string> &zones,
-                                               Nanoseconds unixAtZero) {
-  EndpointList out;
+std::variant<EndpointListMessage, ListError>
+decodeEndpointList(const Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero) {
+  EndpointListMessage out;
   const auto index = readNumber(in, "index", 0, kMaxIndex);
   if (!index) return ListError::noIndex;
   out.index = static_cast<std::uint64_t>(*index);
--- a/src/control/discovery/endpoint_list.h
+++ b/src/control/discovery/endpoint_list.h
@@ -9,7 +9,7 @@
 namespace myrtlehead::discovery {
 
 // One message of a watch, or the answer to a poll.
-struct EndpointList {
+struct EndpointListMessage {
   std::uint64_t index = 0;      // discovery's version of the list; a later watch continues from it
   bool isSnapshot = false;      // the whole list: endpoints that it lacks are gone
   std::vector<Entry> endpoints; // all of them, or those that have changed
@@ -30,7 +30,7 @@
 
 // Reads a list. `zones`: the names of the zones, whose positions stand for them in the result; an unknown
 // name reads as one past the last. `unixAtZero`: the Unix time, in ns, at which the instance's clock read 0.
-std::variant<EndpointList, ListError> readList(const json::Value &in, const std::vector<std::string> &zones,
-                                               Nanoseconds unixAtZero);
+std::variant<EndpointListMessage, ListError>
+decodeEndpointList(const json::Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero);
 
 } // namespace myrtlehead::discovery
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -11,16 +11,16 @@
 // What the end of a call tells of discovery. `poll`: the outcome of the request; `cause`: why the call ended.
 CallEnd classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasMessage) {
   if (poll.progress == net::SendProgress::notConnected)
-    return poll.cause == net::ErrorCode::refused ? CallEnd::nobodyListens : CallEnd::unreachable;
+    return poll.cause == net::ErrorCode::refused ? CallEnd::connectionRefused : CallEnd::unreachable;
   const bool isClosed = cause == net::ErrorCode::closedByPeer || cause == net::ErrorCode::connectionLost;
-  return hasMessage && isClosed ? CallEnd::watchClosed : CallEnd::refused;
+  return hasMessage && isClosed ? CallEnd::watchClosed : CallEnd::rejected;
 }
 
 } // namespace
 
-bool EndpointWatch::loadKnownList(const json::Value &known) {
-  const auto reading = readList(known, zones_, unixAtZero_);
-  const auto *list = std::get_if<EndpointList>(&reading);
+bool EndpointWatch::applyInitialList(const json::Value &known) {
+  const auto reading = decodeEndpointList(known, zones_, unixAtZero_);
+  const auto *list = std::get_if<EndpointListMessage>(&reading);
   if (list == nullptr) return false;
   listIndex_ = list->index;
   router_.onEndpointUpdates(list->endpoints, true);
@@ -98,7 +98,7 @@
     }
     call.hasMessage = true;
     router_.onListMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
-                                                   : MessageSource::formerAddress);
+                                                   : MessageSource::previousAddress);
     cancelOlderCalls(number);
   }
   return net::ErrorCode::none;
@@ -107,8 +107,8 @@
 net::ErrorCode EndpointWatch::applyListUpdate(const std::string &message) {
   std::string why;
   if (const auto value = json::parse(message, &why)) {
-    const auto reading = readList(*value, zones_, unixAtZero_);
-    if (const auto *list = std::get_if<EndpointList>(&reading)) {
+    const auto reading = decodeEndpointList(*value, zones_, unixAtZero_);
+    if (const auto *list = std::get_if<EndpointListMessage>(&reading)) {
       listIndex_ = list->index;
       router_.onEndpointUpdates(list->endpoints, list->isSnapshot);
       return net::ErrorCode::none;
--- a/src/control/discovery/endpoint_watch.h
+++ b/src/control/discovery/endpoint_watch.h
@@ -11,7 +11,7 @@
 
 class EndpointWatch {
 public:
-  // `at`: discovery's address. `zones`, `unixAtZero`: as for readList().
+  // `at`: discovery's address. `zones`, `unixAtZero`: as for decodeEndpointList().
   EndpointWatch(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, log::Log &log,
                 net::Address at, std::vector<std::string> zones, Nanoseconds unixAtZero)
       : sched_(sched), budget_(budget), router_(router), log_(log), at_(at), zones_(std::move(zones)),
@@ -19,7 +19,7 @@
 
   // Applies the list that this instance had before it was restarted. Returns false, and changes nothing, if
   // `known` is not a list.
-  bool loadKnownList(const json::Value &known);
+  bool applyInitialList(const json::Value &known);
   net::Task<> run();
   // Polls discovery at its new address. The watch at the old one is followed until the new one has sent
   // something.
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -67,7 +67,7 @@
                            std::uint64_t seed, log::Log log, DnsMetrics &metrics)
     : sched_(sched), budget_(budget), merge_(merge), settings_(settings), log_(std::move(log)),
       metrics_(metrics), random_(seed), schedule_(settings.resolution, seed + 1) {
-  for (const auto &set : settings.sets) {
+  for (const auto &set : settings.srvNames) {
     const auto name = *dns::canonical(set.name);
     merge_.addSrvName(name, set.release, set.zone);
     sets_.push_back({name, dns::Type::srv});
@@ -174,7 +174,7 @@
     result = DnsRecordsResult::notAvailable;
     lastFailures_[set] = "decidedly not available: the target is '.'";
   }
-  const auto next = merge_.onSrvAnswer(set, result, targets, schedule_.goodUntil(question), sched_.now());
+  const auto next = merge_.onSrvAnswer(set, result, targets, schedule_.validUntil(question), sched_.now());
   if (next == NextLookup::soon)
     schedule_.refreshSoon(question, settings_.merge.lossRetention.confirmationInterval, sched_.now());
   if (gatherUntil_ == 0) gatherUntil_ = sched_.now() + kGatherTime;
@@ -208,7 +208,7 @@
   if (outcome.result == LookupResult::failed) return;
   int release = -1;
   for (const auto &record : outcome.records)
-    release = std::max(release, endpoint_merge::releaseIn(record.text));
+    release = std::max(release, endpoint_merge::parseRelease(record.text));
   merge_.onReleaseAnswer(host, release);
 }
 
@@ -249,7 +249,7 @@
   const auto &statistics = merge_.statistics();
   Nanoseconds staleness = 0;
   for (const auto &question : sets_) {
-    const Nanoseconds until = schedule_.goodUntil(question);
+    const Nanoseconds until = schedule_.validUntil(question);
     if (until != 0) staleness = std::max(staleness, sched_.now() - until);
   }
   metrics_.setMergeStatistics(statistics);
@@ -298,7 +298,7 @@
                                       {"list_down", statistics.isListDown}});
 }
 
-bool DnsDiscovery::hasSettled() const {
+bool DnsDiscovery::hasCompletedFirstLookups() const {
   if (std::find(hasOutcome_.begin(), hasOutcome_.end(), false) != hasOutcome_.end()) return false;
   return schedule_.inFlight() == 0 && schedule_.nextDueAt() > sched_.now();
 }
@@ -350,7 +350,7 @@
   for (const auto &set : snapshot.sets) {
     const dns::Question question{set.name, dns::Type::srv};
     schedule_.add(question, settings_.startSpread, sched_.now());
-    schedule_.restore(question, set.goodAt, set.goodUntil);
+    schedule_.restore(question, set.answeredAt, set.validUntil);
   }
   log_.info("the saved DNS state is used until DNS servers answer",
             {{"file", path},
--- a/src/control/dns/dns_discovery.h
+++ b/src/control/dns/dns_discovery.h
@@ -39,7 +39,7 @@
   void saveAtExit();
 
   // Whether each name and address has been looked up at least once, successfully or not.
-  bool hasSettled() const;
+  bool hasCompletedFirstLookups() const;
   const dns_resolution::RefreshSchedule &schedule() const { return schedule_; }
   // Why the latest look-up of an SRV name gave no targets, in words; "": it gave some, or none has finished.
   const std::string &lastFailure(std::size_t set) const { return lastFailures_[set]; }
--- a/src/control/dns/settings.h
+++ b/src/control/dns/settings.h
@@ -20,12 +20,12 @@
 
 struct DnsSettings {
   std::vector<net::Address> servers; // DNS servers; empty: no look-ups
-  std::vector<SrvNameSettings> sets;
+  std::vector<SrvNameSettings> srvNames;
   dns_resolution::ResolutionSettings resolution;
   endpoint_merge::MergeSettings merge;
   // Nanoseconds. The first look-ups fall within this time, if there is something to serve from meanwhile.
   sched::Nanoseconds startSpread = 2'000'000'000;
-  int subset = 0; // endpoints that one instance uses, about; 0: all
+  int subsetSize = 0; // endpoints that one instance uses, about; 0: all
 };
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/snapshot.cpp
+++ b/src/control/dns/snapshot.cpp
@@ -51,19 +51,20 @@
   json targets = json::array();
   for (const auto &saved : set.targets) {
     const auto &target = saved.target;
-    targets.push_back({target.host, target.port, target.priority, target.weight, clock.toUnix(saved.goneAt)});
+    targets.push_back(
+        {target.host, target.port, target.priority, target.weight, clock.toUnix(saved.removedAt)});
   }
   return {{"name", set.name},
-          {"good_at", clock.toUnix(set.goodAt)},
-          {"good_until", clock.toUnix(set.goodUntil)},
+          {"good_at", clock.toUnix(set.answeredAt)},
+          {"good_until", clock.toUnix(set.validUntil)},
           {"servers", std::move(targets)}};
 }
 
 Snapshot::RecordSet decodeSet(const json &value, const ClockConverter &clock) {
   Snapshot::RecordSet set;
   set.name = value.at("name");
-  set.goodAt = clock.fromUnix(value.at("good_at"));
-  set.goodUntil = clock.fromUnix(value.at("good_until"));
+  set.answeredAt = clock.fromUnix(value.at("good_at"));
+  set.validUntil = clock.fromUnix(value.at("good_until"));
   for (const auto &saved : value.at("servers")) {
     const endpoint_merge::Target target{saved.at(0), saved.at(1), saved.at(2), saved.at(3)};
     set.targets.push_back({target, clock.fromUnix(saved.at(4))});
--- a/src/policy/discovery_subscription.cpp
+++ b/src/policy/discovery_subscription.cpp
@@ -29,7 +29,7 @@
 // the two seconds for which a draining endpoint may go on serving.
 constexpr Nanoseconds kProofLifetime = 4 * kSecond;
 // Since 0 means that the list is up to date.
-constexpr Nanoseconds kEarliestProof = 1;
+constexpr Nanoseconds kMinProofTime = 1;
 
 constexpr Nanoseconds kUnansweredCallTimeout = 3 * kSecond;
 
@@ -65,7 +65,7 @@
 }
 
 void DiscoverySubscription::onMessage(MessageSource source, Nanoseconds now, double jitter) {
-  if (source == MessageSource::formerAddress) return;
+  if (source == MessageSource::previousAddress) return;
   onAnswered();
   lastMessageAt_ = now;
   listCurrentAt_ = now;
@@ -95,7 +95,7 @@
   // A watch that received messages up to its end has missed nothing, and while discovery is down nobody is
   // notified of anything.
   const bool hasMissedNothing = end == CallEnd::watchClosed && isReceiving(now);
-  if (hasMissedNothing || end == CallEnd::nobodyListens) listCurrentAt_ = now;
+  if (hasMissedNothing || end == CallEnd::connectionRefused) listCurrentAt_ = now;
   if (lastMessageAt_ == 0) hasFailedSinceStart_ = true;
   // The unanswered call will end in its turn, or be repeated when its time is up.
   if (others == OtherCalls::unanswered) return;
@@ -104,21 +104,21 @@
   nextCallAt_ = now + static_cast<Nanoseconds>((kMinBackoffJitter + kBackoffJitterRange * jitter) * backoff);
 }
 
-void DiscoverySubscription::onMoved(Nanoseconds now, double jitter) {
+void DiscoverySubscription::onAddressChanged(Nanoseconds now, double jitter) {
   consecutiveFailures_ = 0;
   movedAt_ = now;
   nextCallAt_ = now + ownShareOf(isSharedByFleet_ ? kPollWindowAfterMove : 0, jitter);
 }
 
-Nanoseconds DiscoverySubscription::provenSince(Nanoseconds now, ListSources sources) const {
-  if (sources == ListSources::discoveryAndDns && lastMessageAt_ == 0) return 0;
+Nanoseconds DiscoverySubscription::proofRequiredSince(Nanoseconds now, EndpointSources sources) const {
+  if (sources == EndpointSources::discoveryAndDns && lastMessageAt_ == 0) return 0;
   if (movedAt_ != 0 && now >= movedAt_ + kListReliableAfterMove)
-    return std::max(now - kListReliableAfterMove, kEarliestProof);
+    return std::max(now - kListReliableAfterMove, kMinProofTime);
   // The list known at the start is of unknown age: an endpoint on it may have left and come back, and serve,
   // while this instance counts as notified of its departure but not of its return.
-  if (hasFailedSinceStart_) return kNothingProven;
+  if (hasFailedSinceStart_) return kNoProofAccepted;
   if (!hasSentCall() || now < listCurrentAt_ + kListReliableFor) return 0;
-  return std::max(now - kProofLifetime, kEarliestProof);
+  return std::max(now - kProofLifetime, kMinProofTime);
 }
 
 } // namespace myrtlehead
--- a/src/policy/discovery_subscription.h
+++ b/src/policy/discovery_subscription.h
@@ -12,19 +12,19 @@
 
 namespace myrtlehead {
 
-// Values of nextCallAt() and provenSince().
+// Values of nextCallAt() and proofRequiredSince().
 constexpr Nanoseconds kNoCallDue = std::numeric_limits<Nanoseconds>::max();
-constexpr Nanoseconds kNothingProven = std::numeric_limits<Nanoseconds>::max();
+constexpr Nanoseconds kNoProofAccepted = std::numeric_limits<Nanoseconds>::max();
 
 // A poll without an answer, or a watch without a message, is given up after this time.
 constexpr Nanoseconds kMaxWatchSilence = 5 * kSecond;
 
 // How a poll or a watch ended.
 enum class CallEnd {
-  refused,       // discovery answered with an error, broke the poll off, or kept it waiting too long
-  unreachable,   // no connection came about
-  nobodyListens, // the machine at discovery's address refused the connection: discovery is down
-  watchClosed    // discovery closed a watch that had sent messages, as it does when it goes down
+  rejected,          // discovery answered with an error, broke the poll off, or kept it waiting too long
+  unreachable,       // no connection came about
+  connectionRefused, // the machine at discovery's address refused the connection: discovery is down
+  watchClosed        // discovery closed a watch that had sent messages, as it does when it goes down
 };
 
 // What else is open at discovery's current address when a poll or a watch ends.
@@ -34,10 +34,10 @@
   watching    // a watch that has sent messages
 };
 
-enum class MessageSource { currentAddress, formerAddress };
+enum class MessageSource { currentAddress, previousAddress };
 
 // Where the endpoint set comes from.
-enum class ListSources { discovery, discoveryAndDns };
+enum class EndpointSources { discovery, discoveryAndDns };
 
 class DiscoverySubscription {
 public:
@@ -53,19 +53,19 @@
   // date.
   void onMessage(MessageSource source, Nanoseconds now, double jitter);
   void onClosed(CallEnd end, OtherCalls others, Nanoseconds now, double jitter);
-  void onMoved(Nanoseconds now, double jitter); // discovery has a new address
+  void onAddressChanged(Nanoseconds now, double jitter); // discovery has a new address
 
   // When the next call goes out; kNoCallDue: none is due.
   Nanoseconds nextCallAt() const { return nextCallAt_; }
 
   // 0: the list is up to date. Otherwise requests may go only to an endpoint that has answered an attempt
-  // sent at this time or later; kNothingProven: to none.
+  // sent at this time or later; kNoProofAccepted: to none.
   //
   // Discovery counts this instance as notified of a change some time after making it, whether or not the
   // change arrived. From then on the list may still hold an endpoint whose departure it missed, whatever the
   // reason: the watch has fallen silent, was closed, or never came about. An endpoint that has just served
   // was not departing. DNS records stand in for a list that has never come.
-  Nanoseconds provenSince(Nanoseconds now, ListSources sources = ListSources::discovery) const;
+  Nanoseconds proofRequiredSince(Nanoseconds now, EndpointSources sources = EndpointSources::discovery) const;
 
 private:
   Nanoseconds ownShareOf(Nanoseconds window, double jitter) const;
--- a/src/policy/dns_refresh_schedule.cpp
+++ b/src/policy/dns_refresh_schedule.cpp
@@ -78,8 +78,8 @@
   }
   const Nanoseconds ttl = bounded(outcome.ttl >= 0 ? outcome.ttl : settings_.defaultNegativeTtl);
   item.backoff = 0;
-  item.goodAt = now;
-  item.goodUntil = now + ttl;
+  item.answeredAt = now;
+  item.validUntil = now + ttl;
   const double fraction = uniform(settings_.minRefreshFraction, settings_.maxRefreshFraction);
   schedule(at, now + static_cast<Nanoseconds>(fraction * static_cast<double>(ttl)));
   return true;
@@ -90,35 +90,35 @@
   auto &item = at->second;
   if (item.isInFlight) return; // its own answer is about to come
   item.backoff = 0;
-  item.goodAt = now;
-  item.goodUntil = now + bounded(ttl);
+  item.answeredAt = now;
+  item.validUntil = now + bounded(ttl);
   // The question that these records came with is refreshed before the shorter TTL ends and brings them again;
   // this one is looked up for itself only if that fails.
-  schedule(at, item.goodUntil);
+  schedule(at, item.validUntil);
 }
 
 Freshness RefreshSchedule::freshness(const dns::Question &question, Nanoseconds now) const {
-  const Nanoseconds until = goodUntil(question);
+  const Nanoseconds until = validUntil(question);
   if (until == 0) return Freshness::never;
   if (now <= until) return Freshness::fresh;
   return now - until <= settings_.staleTime ? Freshness::stale : Freshness::expired;
 }
 
-Nanoseconds RefreshSchedule::goodUntil(const dns::Question &question) const {
+Nanoseconds RefreshSchedule::validUntil(const dns::Question &question) const {
   const auto item = items_.find(question);
-  return item == items_.end() ? 0 : item->second.goodUntil;
+  return item == items_.end() ? 0 : item->second.validUntil;
 }
 
-Nanoseconds RefreshSchedule::goodAt(const dns::Question &question) const {
+Nanoseconds RefreshSchedule::answeredAt(const dns::Question &question) const {
   const auto item = items_.find(question);
-  return item == items_.end() ? 0 : item->second.goodAt;
+  return item == items_.end() ? 0 : item->second.answeredAt;
 }
 
-void RefreshSchedule::restore(const dns::Question &question, Nanoseconds goodAt, Nanoseconds goodUntil) {
+void RefreshSchedule::restore(const dns::Question &question, Nanoseconds answeredAt, Nanoseconds validUntil) {
   const auto item = items_.find(question);
   if (item == items_.end()) return;
-  item->second.goodAt = goodAt;
-  item->second.goodUntil = goodUntil;
+  item->second.answeredAt = answeredAt;
+  item->second.validUntil = validUntil;
 }
 
 } // namespace myrtlehead::dns_resolution
--- a/src/policy/dns_refresh_schedule.h
+++ b/src/policy/dns_refresh_schedule.h
@@ -45,10 +45,10 @@
   void onAdditionalRecords(const dns::Question &question, Nanoseconds ttl, Nanoseconds now);
 
   Freshness freshness(const dns::Question &question, Nanoseconds now) const;
-  Nanoseconds goodUntil(const dns::Question &question) const; // end of the answer's TTL; 0: no answer yet
-  Nanoseconds goodAt(const dns::Question &question) const;    // time of the answer; 0: no answer yet
+  Nanoseconds validUntil(const dns::Question &question) const; // end of the answer's TTL; 0: no answer yet
+  Nanoseconds answeredAt(const dns::Question &question) const; // time of the answer; 0: no answer yet
   // The times of an answer from a snapshot.
-  void restore(const dns::Question &question, Nanoseconds goodAt, Nanoseconds goodUntil);
+  void restore(const dns::Question &question, Nanoseconds answeredAt, Nanoseconds validUntil);
   std::size_t inFlight() const { return inFlight_; }
   std::size_t size() const { return items_.size(); }
 
@@ -56,8 +56,8 @@
   struct Item {
     Nanoseconds dueAt = 0;
     bool isInFlight = false;
-    Nanoseconds goodAt = 0;
-    Nanoseconds goodUntil = 0;
+    Nanoseconds answeredAt = 0;
+    Nanoseconds validUntil = 0;
     Nanoseconds backoff = 0; // the latest after a failure; 0: the latest look-up succeeded
   };
   using Items = std::map<dns::Question, Item>;
--- a/src/policy/endpoint_merge.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -24,10 +24,10 @@
 }
 
 NextLookup EndpointMerge::onSrvAnswer(std::size_t set, DnsRecordsResult result,
-                                      const std::vector<Target> &targets, Nanoseconds goodUntil,
+                                      const std::vector<Target> &targets, Nanoseconds validUntil,
                                       Nanoseconds now) {
   if (result == DnsRecordsResult::failed) return NextLookup::onSchedule;
-  const auto next = sets_[set].onAnswer(result, targets, goodUntil, now, settings_.lossRetention,
+  const auto next = sets_[set].onAnswer(result, targets, validUntil, now, settings_.lossRetention,
                                         settings_.flapDamping, staleTime_);
   if (result == DnsRecordsResult::records)
     for (const auto &target : targets)
@@ -62,10 +62,10 @@
     }
 }
 
-void EndpointMerge::forgetGone(Nanoseconds now) {
+void EndpointMerge::forgetRemoved(Nanoseconds now) {
   const auto &damping = settings_.flapDamping;
   const Nanoseconds targetMemoryTime = std::max(damping.maxSuppressTime, 2 * damping.halfLife);
-  for (auto &set : sets_) set.forgetGone(now, targetMemoryTime);
+  for (auto &set : sets_) set.forgetRemoved(now, targetMemoryTime);
   hosts_.unmarkAll();
   for (const auto &set : sets_)
     for (const auto &[key, target] : set.targets()) hosts_.mark(key.first);
@@ -108,7 +108,7 @@
 
 void EndpointMerge::addAddressesOf(const SrvRecordSet &set, const TargetKey &key, const TargetState &target,
                                    DnsEndpoints &out) {
-  const auto &host = *hosts_.find(key.first); // forgetGone() has marked, and so added, each target's host
+  const auto &host = *hosts_.find(key.first); // forgetRemoved() has marked, and so added, each target's host
   statistics_.unresolvedTargets += host.addresses.empty();
   for (const auto &[address, isLater] : host.addresses) {
     const auto name = host.addresses.size() == 1 ? hostAndPort(key.first, key.second)
@@ -128,8 +128,8 @@
   for (auto &set : sets_) {
     const bool isExpired = set.isExpired(now, staleTime_);
     for (auto &[key, target] : set.targets()) {
-      const bool isGoneButServes = !target.isPresent && set.mayServeGone(now);
-      const bool needsLastResort = isGoneButServes || (target.isPresent && isExpired);
+      const bool isRemovedButServes = !target.isPresent && set.mayServeRemoved(now);
+      const bool needsLastResort = isRemovedButServes || (target.isPresent && isExpired);
       const bool isEligible = isLastResort ? needsLastResort || target.isPresent
                                            : !needsLastResort && target.isPresent;
       if (!isEligible) continue;
@@ -157,7 +157,7 @@
 
 void EndpointMerge::addListed(const DnsEndpoints &inDns, std::vector<Entry> &out) {
   const bool hasDnsAnswer = std::any_of(sets_.begin(), sets_.end(),
-                                        [](const SrvRecordSet &set) { return set.goodAt() != 0; });
+                                        [](const SrvRecordSet &set) { return set.answeredAt() != 0; });
   std::vector<std::string> listOnlyAddresses;
   std::vector<const Entry *> listOnly;
   for (const auto &[name, entry] : list_.entries()) {
@@ -232,7 +232,7 @@
 
 std::vector<Entry> EndpointMerge::mergedEndpoints(Nanoseconds now) {
   expireRetention(now);
-  forgetGone(now);
+  forgetRemoved(now);
   selectSubset();
   std::vector<Entry> out;
   DnsEndpoints inDns;
@@ -260,10 +260,10 @@
 Snapshot EndpointMerge::snapshot() const {
   Snapshot out;
   for (const auto &set : sets_) {
-    Snapshot::RecordSet saved{set.name(), set.goodAt(), set.goodUntil(), {}};
+    Snapshot::RecordSet saved{set.name(), set.answeredAt(), set.validUntil(), {}};
     for (const auto &[key, target] : set.targets())
       saved.targets.push_back(
-          {{key.first, key.second, target.priority, target.weight}, target.isPresent ? 0 : target.goneAt});
+          {{key.first, key.second, target.priority, target.weight}, target.isPresent ? 0 : target.removedAt});
     out.sets.push_back(std::move(saved));
   }
   for (const auto &[name, host] : hosts_.all()) {
@@ -284,8 +284,8 @@
     const auto set = std::find_if(sets_.begin(), sets_.end(),
                                   [&](const SrvRecordSet &known) { return known.name() == saved.name; });
     if (set == sets_.end()) continue;
-    set->restoreAge(saved.goodAt, saved.goodUntil);
-    for (const auto &target : saved.targets) set->restoreTarget(target.target, target.goneAt);
+    set->restoreAge(saved.answeredAt, saved.validUntil);
+    for (const auto &target : saved.targets) set->restoreTarget(target.target, target.removedAt);
   }
   for (const auto &host : snapshot.hosts) hosts_.restore(host.name, host.addresses, host.release);
   list_.restore(snapshot.listed, snapshot.departed);
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -59,9 +59,9 @@
   // unknown.
   std::size_t addSrvName(std::string name, int release, int zone);
 
-  // The result of a look-up of an SRV name, valid until `goodUntil`.
+  // The result of a look-up of an SRV name, valid until `validUntil`.
   NextLookup onSrvAnswer(std::size_t set, DnsRecordsResult result, const std::vector<Target> &targets,
-                         Nanoseconds goodUntil, Nanoseconds now);
+                         Nanoseconds validUntil, Nanoseconds now);
   // The result of a look-up of a target's addresses.
   NextLookup onAddressAnswer(const std::string &host, DnsRecordsResult result,
                              std::vector<std::string> addresses);
@@ -101,7 +101,7 @@
 
   void expireRetention(Nanoseconds now);
   void mentionDeparted(Nanoseconds now);
-  void forgetGone(Nanoseconds now);
+  void forgetRemoved(Nanoseconds now);
   void selectSubset();
   bool isInSubset(const TargetKey &key) const { return usesAllTargets_ || subsetTargets_.contains(key); }
   void addAddressesOf(const SrvRecordSet &set, const TargetKey &key, const TargetState &target,
--- a/src/policy/endpoint_merge_snapshot.h
+++ b/src/policy/endpoint_merge_snapshot.h
@@ -12,12 +12,12 @@
 struct Snapshot {
   struct SrvTarget {
     Target target;
-    Nanoseconds goneAt = 0; // 0: present
+    Nanoseconds removedAt = 0; // 0: present
   };
   struct RecordSet {
     std::string name;
-    Nanoseconds goodAt = 0;
-    Nanoseconds goodUntil = 0;
+    Nanoseconds answeredAt = 0;
+    Nanoseconds validUntil = 0;
     std::vector<SrvTarget> targets;
   };
   struct Host {
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -8,10 +8,10 @@
   endpoint.inListBeingRead = true;
 }
 
-void EndpointSet::onListComplete(bool isComplete) {
+void EndpointSet::onUpdatesApplied(bool isFullList) {
   ready_.clear();
   for (auto &endpoint : endpoints_) {
-    if (isComplete && !endpoint.inListBeingRead) endpoint.isReady = false;
+    if (isFullList && !endpoint.inListBeingRead) endpoint.isReady = false;
     endpoint.inListBeingRead = false;
     if (endpoint.isReady) ready_.push_back(&endpoint);
   }
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -12,10 +12,10 @@
 public:
   // A new endpoint, unlisted yet. It keeps its address for as long as the set lives.
   Endpoint &add() { return endpoints_.emplace_back(); }
-  // Takes up what the list says of an endpoint; it counts among ready() after onListComplete().
+  // Takes up what the list says of an endpoint; it counts among ready() after onUpdatesApplied().
   void onUpdate(Endpoint &endpoint, const EndpointInfo &info);
-  // All updates of one message have been taken up. isComplete: endpoints that were not in it are gone.
-  void onListComplete(bool isComplete);
+  // All updates of one message have been taken up. isFullList: endpoints that were not in it are gone.
+  void onUpdatesApplied(bool isFullList);
 
   std::deque<Endpoint> &all() { return endpoints_; }
   const std::deque<Endpoint> &all() const { return endpoints_; }
--- a/src/policy/host_addresses.cpp
+++ b/src/policy/host_addresses.cpp
@@ -7,7 +7,7 @@
 
 namespace myrtlehead::endpoint_merge {
 
-int releaseIn(std::string_view text) {
+int parseRelease(std::string_view text) {
   constexpr std::string_view kKey = "release=";
   while (!text.empty()) {
     const auto end = std::min(text.find(' '), text.size());
--- a/src/policy/host_addresses.h
+++ b/src/policy/host_addresses.h
@@ -11,7 +11,7 @@
 namespace myrtlehead::endpoint_merge {
 
 // The number in "release=7" among the space-separated words of a TXT record; -1: it has none.
-int releaseIn(std::string_view text);
+int parseRelease(std::string_view text);
 
 struct ResolvedAddress {
   std::string address;
--- a/src/policy/priority_selector.cpp
+++ b/src/policy/priority_selector.cpp
@@ -35,8 +35,8 @@
   ++state.attempts;
 }
 
-void PrioritySelector::observe(const std::vector<Group> &groups, Nanoseconds now) {
-  if (now - observedAt_ < kPeriod && groups.size() == states_.size()) return;
+void PrioritySelector::updateShares(const std::vector<Group> &groups, Nanoseconds now) {
+  if (now - observedAt_ < kUpdateInterval && groups.size() == states_.size()) return;
   observedAt_ = now;
   states_.resize(groups.size());
   shares_.assign(groups.size(), 0);
--- a/src/policy/priority_selector.h
+++ b/src/policy/priority_selector.h
@@ -13,16 +13,16 @@
 
 class PrioritySelector {
 public:
-  static constexpr Nanoseconds kPeriod = 100'000'000; // between updates of the shares
+  static constexpr Nanoseconds kUpdateInterval = 100'000'000; // between updates of the shares
 
   struct Group {
     std::size_t endpoints = 0; // in service
     std::size_t ejected = 0;   // of them
   };
 
-  // Updates the shares. `groups`: the best first. To be called about once in kPeriod; calls that come earlier
-  // have no effect unless the number of groups has changed.
-  void observe(const std::vector<Group> &groups, Nanoseconds now);
+  // Updates the shares. `groups`: the best first. To be called about once in kUpdateInterval; calls that come
+  // earlier have no effect unless the number of groups has changed.
+  void updateShares(const std::vector<Group> &groups, Nanoseconds now);
   // An attempt at an endpoint of the group took this fraction of its route's latency objective.
   void onAttemptFinished(int group, double fractionOfObjective);
   // The group for a request. `draw`: random, from [0, 1).
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -49,7 +49,7 @@
   // Notifications of the endpoint list.
   Endpoint &addEndpoint() { return endpoints_.add(); }
   void onEndpointUpdate(Endpoint &endpoint, const EndpointInfo &info, Nanoseconds now);
-  void onEndpointListComplete(bool isComplete) { endpoints_.onListComplete(isComplete); }
+  void onEndpointListComplete(bool isComplete) { endpoints_.onUpdatesApplied(isComplete); }
   // See OutlierDetector::trustOnlyProvenSince().
   void trustOnlyProvenSince(Nanoseconds since) { outliers_.trustOnlyProvenSince(since); }
   void onLoadReport(Endpoint &endpoint, const std::vector<float> &values, Nanoseconds now);
--- a/src/policy/srv_record_set.cpp
+++ b/src/policy/srv_record_set.cpp
@@ -24,7 +24,7 @@
   if (state.isPresent) return;
   state.isPresent = true;
   state.wasInitial = isFirstAnswer;
-  state.goneAt = 0;
+  state.removedAt = 0;
   if (!isNew) state.flaps.onReturn(damping, now);
 }
 
@@ -33,7 +33,7 @@
     if (!target.isMissing) continue;
     target.isMissing = false;
     target.isPresent = false;
-    target.goneAt = now;
+    target.removedAt = now;
   }
   retention_.reset();
 }
@@ -48,12 +48,12 @@
 }
 
 NextLookup SrvRecordSet::onAnswer(DnsRecordsResult result, const std::vector<Target> &targets,
-                                  Nanoseconds goodUntil, Nanoseconds now,
+                                  Nanoseconds validUntil, Nanoseconds now,
                                   const LossRetentionSettings &retention, const FlapDampingSettings &damping,
                                   Nanoseconds staleTime) {
-  const bool isFirstAnswer = goodAt_ == 0;
-  goodAt_ = now;
-  goodUntil_ = goodUntil;
+  const bool isFirstAnswer = answeredAt_ == 0;
+  answeredAt_ = now;
+  validUntil_ = validUntil;
   const auto previous = markPresentAsMissing();
   if (result == DnsRecordsResult::records) {
     for (const auto &target : targets)
@@ -83,34 +83,34 @@
   return true;
 }
 
-void SrvRecordSet::forgetGone(Nanoseconds now, Nanoseconds memoryTime) {
-  if (mayServeGone(now)) return;
+void SrvRecordSet::forgetRemoved(Nanoseconds now, Nanoseconds memoryTime) {
+  if (mayServeRemoved(now)) return;
   std::erase_if(targets_, [&](const auto &target) {
-    return !target.second.isPresent && now - target.second.goneAt > memoryTime;
+    return !target.second.isPresent && now - target.second.removedAt > memoryTime;
   });
 }
 
-void SrvRecordSet::restoreTarget(const Target &target, Nanoseconds goneAt) {
+void SrvRecordSet::restoreTarget(const Target &target, Nanoseconds removedAt) {
   auto &state = targets_[{target.host, target.port}];
   state.priority = target.priority;
   state.weight = target.weight;
-  state.isPresent = goneAt == 0;
-  state.goneAt = goneAt;
+  state.isPresent = removedAt == 0;
+  state.removedAt = removedAt;
   state.wasInitial = true;
 }
 
-void SrvRecordSet::restoreAge(Nanoseconds goodAt, Nanoseconds goodUntil) {
-  goodAt_ = goodAt;
-  goodUntil_ = goodUntil;
+void SrvRecordSet::restoreAge(Nanoseconds answeredAt, Nanoseconds validUntil) {
+  answeredAt_ = answeredAt;
+  validUntil_ = validUntil;
 }
 
 void SrvRecordSet::addNextChange(Nanoseconds now, const LossRetentionSettings &retention,
                                  const FlapDampingSettings &damping, Nanoseconds staleTime,
                                  EarliestAfter &next) const {
   retention_.addNextChange(retention, next);
-  if (goodUntil_ != 0) {
-    next.add(goodUntil_ + 1);
-    next.add(goodUntil_ + staleTime + 1);
+  if (validUntil_ != 0) {
+    next.add(validUntil_ + 1);
+    next.add(validUntil_ + staleTime + 1);
   }
   if (isConfirmedEmpty_) next.add(lastResortUntil_);
   for (const auto &[key, target] : targets_) target.flaps.addNextChange(damping, now, next);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -184,7 +184,7 @@
     ++group.endpoints;
     group.ejected += endpoint->health.ejectedUntil > now();
   }
-  prioritySelector_.observe(observed, now());
+  prioritySelector_.updateShares(observed, now());
 }
 
 void Router::applyUpdates(const std::vector<Entry> &entries, bool isComplete) {
@@ -225,7 +225,7 @@
 }
 
 void Router::onDiscoveryMoved() {
-  subscription_.onMoved(now(), drawForList());
+  subscription_.onAddressChanged(now(), drawForList());
   listRequestChanged_.notify();
 }
 
@@ -286,10 +286,10 @@
 }
 
 void Router::updateListTrust() {
-  const auto sources = merge_ != nullptr ? ListSources::discoveryAndDns : ListSources::discovery;
-  const Nanoseconds since = subscription_.provenSince(now(), sources);
+  const auto sources = merge_ != nullptr ? EndpointSources::discoveryAndDns : EndpointSources::discovery;
+  const Nanoseconds since = subscription_.proofRequiredSince(now(), sources);
   const Nanoseconds before = policy_.provenSince();
-  if (since == kNothingProven && before != since)
+  if (since == kNoProofAccepted && before != since)
     log_.warning(
         "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
   else if (since != 0 && before == 0)
--- a/src/sim/adapter/notifications.cpp
+++ b/src/sim/adapter/notifications.cpp
@@ -42,7 +42,7 @@
   const auto list = in.u16();
   if (kind > failed) in.fail("unknown kind of list update " + std::to_string(kind));
   if (kind == failed) // failures bear no mark of their call
-    return instance.subscription.onClosed(CallEnd::refused, OtherCalls::none, now_,
+    return instance.subscription.onClosed(CallEnd::rejected, OtherCalls::none, now_,
                                           drawUniform(instance.random));
   if (list >= kLists) in.fail("list number " + std::to_string(list) + " is above 15");
   for (const auto &entry : lists_[list]) {
