--- a/src/app/bootstrap/deployment_decoder.cpp
+++ b/src/app/bootstrap/deployment_decoder.cpp
@@ -50,12 +50,12 @@
   RolloutSettings rollout;
   rollout.control = readTerm(in, "familyInfo.control", kRolloutControlWords);
   rollout.stageCaps = in.numbers("familyInfo.caps");
-  rollout.freeAttempts = in.number("familyInfo.free", 0);
+  rollout.burstAttempts = in.number("familyInfo.free", 0);
   rollout.capPerRoute = in.text("familyInfo.capScope", "all") == "each_class";
   rollout.stickyKeys = in.boolean("familyInfo.noReturn");
-  rollout.baselineStays = in.text("familyInfo.swap", "replace") == "parallel";
+  rollout.keepsBaselineUntilRelease = in.text("familyInfo.swap", "replace") == "parallel";
   rollout.idempotentOnlyStages = static_cast<int>(in.integer("familyInfo.guardedStages", 0, 0, kMaxStages));
-  rollout.reportedWrongShare = in.number("familyInfo.foundShare", 0);
+  rollout.wrongAnswerReportShare = in.number("familyInfo.foundShare", 0);
   rollout.votesToPromote = static_cast<int>(in.integer("familyInfo.votesToGo", 0, 0, kMaxVotes));
   rollout.votesToRollBack = static_cast<int>(in.integer("familyInfo.noesNeeded", 1, 0, kMaxVotes));
   rollout.votesToHold = static_cast<int>(in.integer("familyInfo.stoppers", 0, 0, kMaxVotes));
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -52,7 +52,7 @@
     auto attempt = co_await pool_.attempt(*decision.endpoint, statement, until, decision.sendBy,
                                           [&] { return router_.isStillCurrent(request); });
     lastOutcome = attempt.outcome;
-    mayHaveExecuted = mayHaveExecuted || !neverExecuted(lastOutcome);
+    mayHaveExecuted = mayHaveExecuted || !provesNotExecuted(lastOutcome);
     if (!attempt.loads.empty()) router_.onLoadReport(request, attempt.loads);
     if (cancellation.isCancelled()) router_.onClientDisconnected(request);
     decision = router_.onAttemptFinished(request, lastOutcome);
--- a/src/policy/build_selector.cpp
+++ b/src/policy/build_selector.cpp
@@ -45,14 +45,14 @@
 
 Endpoint *BuildSelector::choose(const Request &request, Nanoseconds now, RandomEngine &random) const {
   auto pools = poolsFor(request);
-  auto *baseline = balancer_.choose(std::move(pools.baseline), request, SlowStart::kUnlimitedRate, now,
-                                    random);
+  auto *baseline = balancer_.choose(std::move(pools.baseline), request, SlowStart::kUnlimitedRateMultiple,
+                                    now, random);
   // Guards against an overload of the baseline's endpoints beside a candidate that stands idle within its
   // cap: once attempts take long, the candidate's endpoints are used like any other.
   const bool isLimited = baseline != nullptr && !overload_.isOverloaded();
   auto *candidate = balancer_.choose(std::move(pools.candidate), request,
-                                     isLimited ? kCandidateRateMultiple : SlowStart::kUnlimitedRate, now,
-                                     random);
+                                     isLimited ? kCandidateRateMultiple : SlowStart::kUnlimitedRateMultiple,
+                                     now, random);
   if (baseline == nullptr || candidate == nullptr) return baseline != nullptr ? baseline : candidate;
   if (!request.attempts.empty()) return baseline; // a retry is no place for an experiment
   return prefersCandidate(*candidate, *baseline, now) ? candidate : baseline;
@@ -71,7 +71,7 @@
   return crowdingOf(candidate, now) <= most * meanCrowding(now);
 }
 
-bool BuildSelector::isCrowded(const Endpoint &endpoint, Nanoseconds now) const {
+bool BuildSelector::exceedsMeanLoad(const Endpoint &endpoint, Nanoseconds now) const {
   return crowdingOf(endpoint, now) > kFairCrowding * meanCrowding(now);
 }
 
--- a/src/policy/build_selector.h
+++ b/src/policy/build_selector.h
@@ -21,7 +21,7 @@
   Endpoint *choose(const Request &request, Nanoseconds now, RandomEngine &random) const;
   // Whether the endpoint, of a candidate, will be more crowded than the others with one more attempt, so that
   // late answers speak of the load and not of its build.
-  bool isCrowded(const Endpoint &endpoint, Nanoseconds now) const;
+  bool exceedsMeanLoad(const Endpoint &endpoint, Nanoseconds now) const;
 
 private:
   friend struct PolicyTestPeer;
--- a/src/policy/deployment.h
+++ b/src/policy/deployment.h
@@ -28,18 +28,18 @@
 
 struct RolloutSettings {
   RolloutControl control = RolloutControl::anyVote;
-  std::vector<double> stageCaps; // by stage: attempts at the candidate build for each request
-  double freeAttempts = 0;       // at the candidate build, beyond the cap
-  bool capPerRoute = false;      // each route has a budget of its own
-  bool stickyKeys = false;       // a key that a build has answered goes to no earlier build
-  bool baselineStays = false;    // until the release, rather than being replaced machine by machine
-  int idempotentOnlyStages = 0;  // the first stages, in which only idempotent requests may go there
-  double reportedWrongShare = 0; // of the wrong answers, the part that clients report
-  int votesToPromote = 0;        // instances
-  int votesToRollBack = 1;       // instances
-  int votesToHold = 0;           // instances
-  Nanoseconds voteLifetime = 0;  // a vote lapses after this
-  double votesPerSecond = 1;     // that the platform accepts, of all instances together
+  std::vector<double> stageCaps;          // by stage: attempts at the candidate build for each request
+  double burstAttempts = 0;               // at the candidate build, beyond the cap
+  bool capPerRoute = false;               // each route has a budget of its own
+  bool stickyKeys = false;                // a key that a build has answered goes to no earlier build
+  bool keepsBaselineUntilRelease = false; // until the release, rather than being replaced machine by machine
+  int idempotentOnlyStages = 0;           // the first stages, in which only idempotent requests may go there
+  double wrongAnswerReportShare = 0;      // of the wrong answers, the part that clients report
+  int votesToPromote = 0;                 // instances
+  int votesToRollBack = 1;                // instances
+  int votesToHold = 0;                    // instances
+  Nanoseconds voteLifetime = 0;           // a vote lapses after this
+  double votesPerSecond = 1;              // that the platform accepts, of all instances together
 };
 
 // A value of an endpoint's load report.
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -33,14 +33,14 @@
   Nanoseconds receivedAt = 0;
 };
 
-// Written by OutlierDetector, but for suspectUntilByPeers, which the owner of OutlierGossip writes.
+// Written by OutlierDetector, but for peerSuspicionUntil, which the owner of OutlierGossip writes.
 struct EndpointHealth {
-  double failureRate = 0;      // recent share of own attempts that failed
-  int consecutiveFailures = 0; // hard failures and rejections
-  int ejections = 0;           // in a row
+  double failureRate = 0;       // recent share of own attempts that failed
+  int consecutiveFailures = 0;  // hard failures and rejections
+  int consecutiveEjections = 0; // in a row
   Nanoseconds ejectedUntil = 0;
-  Nanoseconds provenAt = 0;            // when the latest attempt that it has served was sent
-  Nanoseconds suspectUntilByPeers = 0; // by what peers report
+  Nanoseconds latestSuccessSentAt = 0; // when the latest attempt that it has served was sent
+  Nanoseconds peerSuspicionUntil = 0;  // by what peers report
 };
 
 // Written by SlowStart.
@@ -54,7 +54,7 @@
   std::uint16_t fingerprint = 0; // the same at every instance, unless two names collide; 0: none
   EndpointInfo info;
   bool isReady = false;          // in the latest list, and ready
-  bool inListBeingRead = false;  // met while a complete list is being read
+  bool seenInListUpdate = false; // met while a complete list is being read
   int inFlight = 0;              // own attempts
   Nanoseconds lastOutcomeAt = 0; // or when the first of the attempts in flight was sent
   EndpointLatency latency;
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -5,14 +5,14 @@
 void EndpointSet::onUpdate(Endpoint &endpoint, const EndpointInfo &info) {
   endpoint.info = info;
   endpoint.isReady = info.state == EndpointState::ready;
-  endpoint.inListBeingRead = true;
+  endpoint.seenInListUpdate = true;
 }
 
 void EndpointSet::onListComplete(bool isComplete) {
   ready_.clear();
   for (auto &endpoint : endpoints_) {
-    if (isComplete && !endpoint.inListBeingRead) endpoint.isReady = false;
-    endpoint.inListBeingRead = false;
+    if (isComplete && !endpoint.seenInListUpdate) endpoint.isReady = false;
+    endpoint.seenInListUpdate = false;
     if (endpoint.isReady) ready_.push_back(&endpoint);
   }
 }
--- a/src/policy/exposure_budget.cpp
+++ b/src/policy/exposure_budget.cpp
@@ -32,7 +32,7 @@
 
 void ExposureBudget::onRequest(const Request &request) {
   double &credit = creditOf(request);
-  credit = std::min(credit + lowestCap() * kRoundingMargin, deployment_.rollout.freeAttempts);
+  credit = std::min(credit + lowestCap() * kRoundingMargin, deployment_.rollout.burstAttempts);
 }
 
 bool ExposureBudget::allows(const Request &request, int build) const {
--- a/src/policy/exposure_budget.h
+++ b/src/policy/exposure_budget.h
@@ -1,8 +1,8 @@
-// Limits the attempts at a candidate build to a part of the requests: within any window, to freeAttempts plus
-// the cap times the requests received.
+// Limits the attempts at a candidate build to a part of the requests: within any window, to burstAttempts
+// plus the cap times the requests received.
 //
 // The window is kept as credit: each request adds the cap, each attempt at a candidate takes one, and no more
-// than freeAttempts is ever saved up. So the limit holds for every window that is yet to end as well, also
+// than burstAttempts is ever saved up. So the limit holds for every window that is yet to end as well, also
 // where requests become fewer.
 #pragma once
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -36,7 +36,7 @@
 Endpoint *LoadBalancer::choose(std::vector<Endpoint *> candidates, const Request &request,
                                double maxRateMultiple, Nanoseconds now, RandomEngine &random) const {
   std::erase_if(candidates, [&](Endpoint *endpoint) {
-    return !outliers_.isProven(*endpoint) || !retries_.allows(request, *endpoint) ||
+    return !outliers_.hasRequiredSuccess(*endpoint) || !retries_.allows(request, *endpoint) ||
            !stickyKeys_.allows(request, *endpoint) ||
            !slowStart_.hasCapacity(*endpoint, maxRateMultiple, now);
   });
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -42,11 +42,13 @@
   auto &health = endpoint.health;
   const bool isFailure = isHardFailure(outcome);
   const bool isRejection = outcome == Outcome::rejected;
-  if (outcome == Outcome::succeeded) health.provenAt = now - duration; // it had not left when that arrived
-  if (isRejection) health.provenAt = 0;
+  if (outcome == Outcome::succeeded)
+    health.latestSuccessSentAt = now - duration; // it had not left when that arrived
+  if (isRejection) health.latestSuccessSentAt = 0;
   health.failureRate += kFailureRateWeight * ((isFailure ? 1 : 0) - health.failureRate);
   health.consecutiveFailures = isFailure || isRejection ? health.consecutiveFailures + 1 : 0;
-  if (health.consecutiveFailures == 0 && health.failureRate < kFailureRateToEject / 2) health.ejections = 0;
+  if (health.consecutiveFailures == 0 && health.failureRate < kFailureRateToEject / 2)
+    health.consecutiveEjections = 0;
   if (health.ejectedUntil > now) return;
   const bool failsOften = health.consecutiveFailures >= kConsecutiveFailuresToEject ||
                           health.failureRate >= kFailureRateToEject;
@@ -61,21 +63,21 @@
 // fail in turn: the better quarter must not.
 void OutlierDetector::eject(Endpoint &endpoint, Nanoseconds now, DueActions &due) const {
   auto &health = endpoint.health;
-  const auto time = std::min(kBaseEjectionTime << std::min(health.ejections, kMaxEjectionDoublings),
-                             kMaxEjectionTime);
+  const auto time = std::min(
+      kBaseEjectionTime << std::min(health.consecutiveEjections, kMaxEjectionDoublings), kMaxEjectionTime);
   health.ejectedUntil = now + time;
   due.logLines.push_back(formatLine(
       "endpoint ejected for %lld ms: %d consecutive failures, failure rate %.2f",
       static_cast<long long>(time / kMillisecond), health.consecutiveFailures, health.failureRate));
-  ++health.ejections;
+  ++health.consecutiveEjections;
   health.consecutiveFailures = kConsecutiveFailuresToEject - 1;
   health.failureRate = kFailureRateToEject / 2;
 }
 
 void OutlierDetector::onEndpointReplaced(Endpoint &endpoint) {
-  const auto suspectUntilByPeers = endpoint.health.suspectUntilByPeers;
+  const auto peerSuspicionUntil = endpoint.health.peerSuspicionUntil;
   endpoint.health = {};
-  endpoint.health.suspectUntilByPeers = suspectUntilByPeers;
+  endpoint.health.peerSuspicionUntil = peerSuspicionUntil;
 }
 
 // The failure rate below which a quarter of the endpoints stay: what a fault common to all looks like.
@@ -90,8 +92,8 @@
 
 bool OutlierDetector::isSuspect(const Endpoint &endpoint, Nanoseconds now) const {
   const auto &health = endpoint.health;
-  return health.ejectedUntil > now || health.suspectUntilByPeers > now || isUnresponsive(endpoint, now) ||
-         (health.ejections > 0 && endpoint.inFlight > 0);
+  return health.ejectedUntil > now || health.peerSuspicionUntil > now || isUnresponsive(endpoint, now) ||
+         (health.consecutiveEjections > 0 && endpoint.inFlight > 0);
 }
 
 bool OutlierDetector::isUnresponsive(const Endpoint &endpoint, Nanoseconds now) const {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -34,9 +34,11 @@
   bool isCapacityBeingLost(Nanoseconds now) const { return now < capacityLossUntil_; }
   // The list may lack endpoints that have left since then: only those that have served an attempt sent later
   // are used. 0: the list is trusted.
-  void trustOnlyProvenSince(Nanoseconds since) { provenSince_ = since; }
-  Nanoseconds provenSince() const { return provenSince_; }
-  bool isProven(const Endpoint &endpoint) const { return endpoint.health.provenAt >= provenSince_; }
+  void requireSuccessSince(Nanoseconds since) { requiredSuccessSince_ = since; }
+  Nanoseconds requiredSuccessSince() const { return requiredSuccessSince_; }
+  bool hasRequiredSuccess(const Endpoint &endpoint) const {
+    return endpoint.health.latestSuccessSentAt >= requiredSuccessSince_;
+  }
 
 private:
   friend struct PolicyTestPeer;
@@ -47,7 +49,7 @@
   const LatencyTracker &latency_;
   double connectionLossRate_ = 0; // share of the latest attempts that found no endpoint, or lost it
   Nanoseconds capacityLossUntil_;
-  Nanoseconds provenSince_ = 0;
+  Nanoseconds requiredSuccessSince_ = 0;
 };
 
 } // namespace myrtlehead
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -10,7 +10,7 @@
 enum class Outcome { succeeded, failed, rejected, timedOut, unreachable, reset, cancelled, notSent };
 
 // Whether an outcome proves that the attempt was not executed.
-inline bool neverExecuted(Outcome outcome) {
+inline bool provesNotExecuted(Outcome outcome) {
   return outcome == Outcome::rejected || outcome == Outcome::unreachable || outcome == Outcome::notSent;
 }
 
@@ -27,8 +27,8 @@
   int build = 0; // with zone and cell: as listed when it was sent
   int zone = 0;
   int cell = 0;
-  bool toCandidate = false; // to an endpoint of a candidate build
-  bool crowded = false;     // to a candidate that was more crowded than the baseline when it was sent
+  bool toCandidate = false;       // to an endpoint of a candidate build
+  bool sentAboveMeanLoad = false; // to a candidate that was more crowded than the baseline when it was sent
   bool inFlight = true;
   bool mayHaveExecuted = true; // until an outcome proves that it was not executed
 };
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -61,7 +61,7 @@
                          static_cast<int>(request.attempts.size()) + 1 < deployment_.maxAttempts;
   const auto &health = endpoint.health;
   const bool failsNow = health.consecutiveFailures > 0 || outliers_.isUnresponsive(endpoint, now);
-  const bool isDoubted = health.ejections > 0 || (failsNow && !overload_.isShedding());
+  const bool isDoubted = health.consecutiveEjections > 0 || (failsNow && !overload_.isShedding());
   if (!mayFollow || !isDoubted) return timeout;
   return std::min(timeout,
                   static_cast<Nanoseconds>(kSuspectTimeShare * static_cast<double>(route.latencyObjective)));
@@ -95,7 +95,7 @@
   return decision;
 }
 
-bool RetryPolicy::ranLongEnoughToCount(Nanoseconds duration, Nanoseconds latencyObjective) {
+bool RetryPolicy::ranLongEnoughForEvidence(Nanoseconds duration, Nanoseconds latencyObjective) {
   return !(2 * duration < latencyObjective * kSuspectTimeShare);
 }
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -37,7 +37,7 @@
   RoutingDecision giveUp(const Request &request) const;
   // Whether a timed-out attempt ran for at least half the time that a suspect endpoint is given (a quarter of
   // the latency objective). A shorter one is no evidence against the endpoint.
-  static bool ranLongEnoughToCount(Nanoseconds duration, Nanoseconds latencyObjective);
+  static bool ranLongEnoughForEvidence(Nanoseconds duration, Nanoseconds latencyObjective);
 
 private:
   friend struct PolicyTestPeer;
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -63,7 +63,7 @@
   auto &attempt = request.attempts[index];
   if (!attempt.inFlight) return {};
   attempt.inFlight = false;
-  attempt.mayHaveExecuted = !neverExecuted(outcome);
+  attempt.mayHaveExecuted = !provesNotExecuted(outcome);
   --request.inFlight;
   --attempt.endpoint->inFlight;
   attempt.endpoint->lastOutcomeAt = now;
@@ -101,7 +101,7 @@
       .endpoint = &endpoint, .sentAt = now, .build = info.build, .zone = info.zone, .cell = info.cell};
   attempt.toCandidate = rollout_.isCandidate(info.build);
   if (attempt.toCandidate) exposure_.onAttempt(request);
-  attempt.crowded = attempt.toCandidate && selector_.isCrowded(endpoint, now);
+  attempt.sentAboveMeanLoad = attempt.toCandidate && selector_.exceedsMeanLoad(endpoint, now);
   attempt.timeout = retries_.attemptTimeout(request, endpoint, now);
   request.attempts.push_back(attempt);
   ++request.inFlight;
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -50,8 +50,8 @@
   Endpoint &addEndpoint() { return endpoints_.add(); }
   void onEndpointUpdate(Endpoint &endpoint, const EndpointInfo &info, Nanoseconds now);
   void onEndpointListComplete(bool isComplete) { endpoints_.onListComplete(isComplete); }
-  // See OutlierDetector::trustOnlyProvenSince().
-  void trustOnlyProvenSince(Nanoseconds since) { outliers_.trustOnlyProvenSince(since); }
+  // See OutlierDetector::requireSuccessSince().
+  void requireSuccessSince(Nanoseconds since) { outliers_.requireSuccessSince(since); }
   void onLoadReport(Endpoint &endpoint, const std::vector<float> &values, Nanoseconds now);
 
   // Notifications of the rollout and of other instances.
@@ -69,7 +69,7 @@
   const Deployment &deployment() const { return deployment_; }
   std::deque<Endpoint> &endpoints() { return endpoints_.all(); }
   const std::vector<Endpoint *> &readyEndpoints() const { return endpoints_.ready(); }
-  Nanoseconds provenSince() const { return outliers_.provenSince(); }
+  Nanoseconds requiredSuccessSince() const { return outliers_.requiredSuccessSince(); }
 
 private:
   friend struct PolicyTestPeer;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -26,7 +26,7 @@
   const double multiple = warmup < 1
                               ? std::min(maxRateMultiple, kColdBudgetShare * deployment_.coldBudgetMultiple)
                               : maxRateMultiple;
-  if (multiple == kUnlimitedRate) return true;
+  if (multiple == kUnlimitedRateMultiple) return true;
   const double rate = multiple * warmup * completionRate_ / 1e9; // attempts a nanosecond
   const double maxTokens = std::max(
       rate * static_cast<double>(deployment_.coldBudgetWindow) * kMaxSavedWindow, 1.0);
@@ -53,7 +53,7 @@
 // included: the rate is then what each of them would complete without the candidate.
 bool SlowStart::countsAsWarm(const Endpoint &endpoint, Nanoseconds now) const {
   if (warmupFraction(endpoint, now) < 1) return false;
-  return !(deployment_.rollout.baselineStays && rollout_.isCandidate(endpoint.info.build));
+  return !(deployment_.rollout.keepsBaselineUntilRelease && rollout_.isCandidate(endpoint.info.build));
 }
 
 // Completions are counted, not attempts: attempts say nothing in a storm of retries. Sum and time decay
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -23,8 +23,8 @@
   // The least share of its capacity that an endpoint has by now; 1: it is warm.
   double warmupFraction(const Endpoint &endpoint, Nanoseconds now) const;
   // Whether the endpoint may be sent one more attempt now. maxRateMultiple: most that it may get, as a
-  // multiple of what a warm endpoint completes, scaled by its warm-up fraction; kUnlimitedRate: no limit on
-  // a warm one. Refills the endpoint's tokens.
+  // multiple of what a warm endpoint completes, scaled by its warm-up fraction; kUnlimitedRateMultiple: no
+  // limit on a warm one. Refills the endpoint's tokens.
   bool hasCapacity(Endpoint &endpoint, double maxRateMultiple, Nanoseconds now) const;
 
   void onRequest() { ++requestsReceived_; }
@@ -35,7 +35,7 @@
   // To be called often: takes up what warm endpoints have completed, every half second.
   void updateCompletionRate(Nanoseconds now);
 
-  static constexpr double kUnlimitedRate = 1e9;
+  static constexpr double kUnlimitedRateMultiple = 1e9;
 
 private:
   friend struct PolicyTestPeer;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -85,7 +85,7 @@
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->endpoint;
     gossip_.onOutcome(endpoint.fingerprint, outcome);
-    endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
+    endpoint.health.peerSuspicionUntil = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
   return toAttempt(context, policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
@@ -198,7 +198,7 @@
     if (!known.isReady || isChanged) {
       ++known.version;
       gossip_.onEndpointReplaced(known.endpoint->fingerprint);
-      known.endpoint->health.suspectUntilByPeers = 0;
+      known.endpoint->health.peerSuspicionUntil = 0;
     }
     known.address = entry.address;
     policy_.onEndpointUpdate(*known.endpoint, after, now());
@@ -282,13 +282,13 @@
   for (const auto &observed : message.observations)
     for (auto &known : endpoints_)
       if (known.endpoint->fingerprint == observed.fingerprint)
-        known.endpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
+        known.endpoint->health.peerSuspicionUntil = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListTrust() {
   const auto sources = merge_ != nullptr ? ListSources::discoveryAndDns : ListSources::discovery;
   const Nanoseconds since = subscription_.provenSince(now(), sources);
-  const Nanoseconds before = policy_.provenSince();
+  const Nanoseconds before = policy_.requiredSuccessSince();
   if (since == kNothingProven && before != since)
     log_.warning(
         "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
@@ -296,7 +296,7 @@
     log_.info("endpoint list out of date: only endpoints that have just served are used");
   else if (since == 0 && before != 0)
     log_.info("endpoint list up to date again");
-  policy_.trustOnlyProvenSince(since);
+  policy_.requireSuccessSince(since);
 }
 
 void Router::runDueTasks() {
