--- a/src/policy/deployment.h
+++ b/src/policy/deployment.h
@@ -1,4 +1,4 @@
-// What a deployment is: its routes, its rollout settings and its limits, as the operators configure them.
+// The configuration of a deployment: its routes, rollout settings and limits.
 #pragma once
 
 #include "policy/time.h"
@@ -7,65 +7,67 @@
 
 namespace myrtlehead {
 
-// Whether a request may be executed twice: freely, within a window if both attempts carry the same
-// idempotency key, or never.
+// Whether a request may be executed more than once: always; within Route::idempotencyWindow if all attempts
+// carry the same idempotency key; or never.
 enum class Idempotency { idempotent, idempotentWithKey, notIdempotent };
 
-// Where a retry of a request with an idempotency key is recognised: at any endpoint, or only at those of the
-// zone or the cell that the first attempt went to.
+// Which endpoints recognise a retry by its idempotency key: all endpoints, or only those in the zone or cell
+// of the first attempt.
 enum class IdempotencyScope { anywhere, zone, cell };
 
 struct Route {
   Nanoseconds latencyObjective = 0;
-  Nanoseconds idempotencyWindow = 0; // from the first attempt on, for which endpoints know the key
-  double priorityWeight = 1;         // greater ones are shed last
+  Nanoseconds idempotencyWindow = 0; // how long endpoints remember a key, starting at the first attempt
+  double priorityWeight = 1;         // requests with a greater weight are shed later
   Idempotency idempotency = Idempotency::idempotent;
   IdempotencyScope idempotencyScope = IdempotencyScope::anywhere;
 };
 
-// How a rollout moves on: by any instance's vote, by a number of votes, or by itself unless it is held.
+// What advances a rollout to its next stage: the vote of any instance, a quorum of votes, or a timer unless
+// instances vote to hold.
 enum class RolloutControl { anyVote, quorum, timer };
 
 struct RolloutSettings {
   RolloutControl control = RolloutControl::anyVote;
-  std::vector<double> stageCaps;          // by stage: attempts at the candidate build for each request
-  double burstAttempts = 0;               // at the candidate build, beyond the cap
-  bool capPerRoute = false;               // each route has a budget of its own
-  bool stickyKeys = false;                // a key that a build has answered goes to no earlier build
-  bool keepsBaselineUntilRelease = false; // until the release, rather than being replaced machine by machine
-  int idempotentOnlyStages = 0;           // the first stages, in which only idempotent requests may go there
-  double wrongAnswerReportShare = 0;      // of the wrong answers, the part that clients report
-  int votesToPromote = 0;                 // instances
-  int votesToRollBack = 1;                // instances
-  int votesToHold = 0;                    // instances
-  Nanoseconds voteLifetime = 0;           // a vote lapses after this
-  double votesPerSecond = 1;              // that the platform accepts, of all instances together
+  std::vector<double> stageCaps; // exposure cap of each stage: attempts at the candidate build per request
+  double burstAttempts = 0;      // attempts at the candidate build that are allowed beyond the cap
+  bool capPerRoute = false;      // each route has its own exposure budget
+  bool stickyKeys = false;       // see StickyKeys
+  // The baseline keeps all its endpoints until the release; otherwise the candidate replaces them one by one.
+  bool keepsBaselineUntilRelease = false;
+  int idempotentOnlyStages = 0;      // in this many first stages the candidate gets only idempotent requests
+  double wrongAnswerReportShare = 0; // share of the wrong answers that clients report, 0 to 1
+  int votesToPromote = 0;            // number of instances
+  int votesToRollBack = 1;           // number of instances
+  int votesToHold = 0;               // number of instances
+  Nanoseconds voteLifetime = 0;      // a vote expires after this time
+  double votesPerSecond = 1;         // the platform's rate limit for the votes of all instances together
 };
 
-// A value of an endpoint's load report.
+// The meaning of one value in an endpoint's load report.
 enum class LoadReportField { inFlight, queued, cpu, other };
 
 struct Deployment {
-  int ownIndex = 0;      // of this instance, from 0
-  int instanceCount = 1; // of the proxy
-  int zone = 0;          // of this instance
+  int ownIndex = 0;      // index of this instance, from 0 to instanceCount - 1
+  int instanceCount = 1; // number of gateway instances
+  int zone = 0;          // zone of this instance
   std::vector<Route> routes;
-  std::vector<LoadReportField> loadReportFields;
-  std::vector<double> tenantQuotas; // requests a second, over all instances
-  double overQuotaWeight = 1;       // factor on the priority weight beyond a tenant's quota
+  std::vector<LoadReportField> loadReportFields; // in the order of the values in a load report
+  std::vector<double> tenantQuotas;              // requests per second over all instances, by tenant
+  double overQuotaWeight = 1; // factor on the priority weight of requests beyond a tenant's quota
   RolloutSettings rollout;
-  Nanoseconds tickInterval = 0;
-  Nanoseconds warmupTime = 0;       // of an endpoint, from its start
-  double warmupStartFraction = 1;   // of its capacity, at its start
-  Nanoseconds coldBudgetWindow = 0; // over which the load on a cold endpoint is limited
-  double coldBudgetMultiple = 1;    // of its present capacity, at most, over that window
+  Nanoseconds tickInterval = 0;     // resolution of the caller's timers
+  Nanoseconds warmupTime = 0;       // time from an endpoint's start until it has its full capacity
+  double warmupStartFraction = 1;   // share of its capacity that an endpoint has at its start
+  Nanoseconds coldBudgetWindow = 0; // window over which the load on a cold endpoint is limited
+  double coldBudgetMultiple = 1;    // maximum load over that window, as a multiple of the current capacity
   Nanoseconds maxRetryAfter = 0;
-  Nanoseconds pollInterval = 0;   // an instance that watches no endpoint list polls it at least so often
-  double crossZoneCost = 0;       // of an attempt in another zone, in the operators' points
-  int maxAttempts = 1;            // for one request
-  bool pollsEndpointList = false; // rather than being sent it
-  bool hasPeers = false;          // instances may send messages to each other
-  bool sendsRetryAfter = false;   // with a request that is shed
+  Nanoseconds pollInterval = 0;   // maximum interval between polls of the endpoint list without a watch
+  double crossZoneCost = 0;       // cost of an attempt in another zone, in points set by the operators
+  int maxAttempts = 1;            // maximum number of attempts for one request
+  bool pollsEndpointList = false; // the instance polls the endpoint list; otherwise it is pushed
+  bool hasPeers = false;          // instances can send messages to each other
+  bool sendsRetryAfter = false;   // shed requests are answered with a Retry-After delay
 };
 
 } // namespace myrtlehead
--- a/src/policy/earliest_after.h
+++ b/src/policy/earliest_after.h
@@ -1,4 +1,4 @@
-// The earliest of several points in time that lie after a given one.
+// Finds the earliest of several points in time that lie after a given time.
 #pragma once
 
 #include "policy/time.h"
@@ -13,11 +13,12 @@
 class EarliestAfter {
 public:
   explicit EarliestAfter(Nanoseconds now) : now_(now) {}
-  // Points in time that are not after `now` are ignored.
+  // Ignores points in time that are not after the time given to the constructor.
   void add(Nanoseconds time) {
     if (time > now_) earliest_ = std::min(earliest_, time);
   }
-  Nanoseconds value() const { return earliest_; } // kNever: none was added
+  // The earliest point in time added; kNever if there is none.
+  Nanoseconds value() const { return earliest_; }
 
 private:
   Nanoseconds now_;
--- a/src/policy/log_text.h
+++ b/src/policy/log_text.h
@@ -1,4 +1,4 @@
-// The words and the form of the decisions' log lines.
+// Names and formatting for the log lines of the routing policy.
 #pragma once
 
 #include "policy/request.h"
@@ -30,7 +30,7 @@
   return kNames[static_cast<int>(reply)];
 }
 
-// A log line of 159 characters at most, by a printf format.
+// Formats a log line with a printf format. Lines longer than 159 characters are truncated.
 template <class... Arguments> std::string formatLine(const char *format, Arguments... arguments) {
   constexpr std::size_t kMaxLength = 160;
   char text[kMaxLength];
--- a/src/policy/random.h
+++ b/src/policy/random.h
@@ -1,5 +1,5 @@
-// Randomness as the decisions use it: one engine for each instance, seeded from its configuration, so that a
-// run can be repeated. The order of draws is part of the decisions.
+// Random numbers for the routing policy. Each instance has one engine, seeded from its configuration, so that
+// runs are reproducible. Decisions depend on the order of the draws.
 #pragma once
 
 #include <random>
@@ -8,7 +8,7 @@
 
 using RandomEngine = std::knuth_b;
 
-// A draw from [0, 1).
+// Draws from the uniform distribution over [0, 1).
 inline double drawUniform(RandomEngine &random) {
   return std::uniform_real_distribution<double>(0, 1)(random);
 }
