--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -85,7 +85,7 @@
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->policyEndpoint;
     gossip_.onOutcome(endpoint.fingerprint, outcome);
-    endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
+    endpoint.health.peerSuspicionUntil = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
   return toAttempt(context, policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
@@ -199,7 +199,7 @@
     if (!known.isReady || isChanged) {
       ++known.version;
       gossip_.onEndpointReplaced(known.policyEndpoint->fingerprint);
-      known.policyEndpoint->health.suspectUntilByPeers = 0;
+      known.policyEndpoint->health.peerSuspicionUntil = 0;
     }
     known.address = entry.address;
     policy_.onEndpointUpdate(*known.policyEndpoint, after, now());
@@ -283,13 +283,13 @@
   for (const auto &observed : message.observations)
     for (auto &known : endpoints_)
       if (known.policyEndpoint->fingerprint == observed.fingerprint)
-        known.policyEndpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
+        known.policyEndpoint->health.peerSuspicionUntil = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListTrust() {
   const auto sources = merge_ != nullptr ? EndpointSources::discoveryAndDns : EndpointSources::discovery;
   const Nanoseconds since = subscription_.proofRequiredSince(now(), sources);
-  const Nanoseconds before = policy_.provenSince();
+  const Nanoseconds before = policy_.requiredSuccessSince();
   if (since == kNoProofAccepted && before != since)
     log_.warning(
         "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
@@ -297,7 +297,7 @@
     log_.info("endpoint list out of date: only endpoints that have just served are used");
   else if (since == 0 && before != 0)
     log_.info("endpoint list up to date again");
-  policy_.trustOnlyProvenSince(since);
+  policy_.requireSuccessSince(since);
 }
 
 void Router::runDueTasks() {
