--- a/src/policy/fusion_center.cpp
+++ b/src/policy/fusion_center.cpp
@@ -45,20 +45,21 @@
     last = {report.channel, report.build, report.incarnation, 0, 0, 0};
   if (report.outcomes < last.outcomes) return; // overtaken by a later one; a repeat adds nothing
   onMove(report.channel, report.logLikelihoodRatio - last.logLikelihoodRatio, report.outcomes - last.outcomes,
-         report.lastFailed, due);
+         report.lastFailedFingerprint, due);
   last = report;
 }
 
-void FusionCenter::onMove(std::size_t index, double moved, double outcomes, std::uint16_t lastFailed,
-                          DueActions &due) {
+void FusionCenter::onMove(std::size_t index, double moved, double outcomes,
+                          std::uint16_t lastFailedFingerprint, DueActions &due) {
   auto &channel = channels_[index];
   const double before = std::max(channel.cusum, 0.0);
   channel.cusum = before + moved;
   const double kept = before > 0 ? std::clamp(channel.cusum / before, 0.0, 1.0) : 0;
   for (auto &[_, contribution] : channel.contributions) contribution *= kept;
   const bool hasPlace = channel.contributions.size() < kMaxContributors ||
-                        channel.contributions.contains(lastFailed);
-  if (moved > 0 && lastFailed != 0 && hasPlace) channel.contributions[lastFailed] += moved;
+                        channel.contributions.contains(lastFailedFingerprint);
+  if (moved > 0 && lastFailedFingerprint != 0 && hasPlace)
+    channel.contributions[lastFailedFingerprint] += moved;
   if (index == 0) stageOutcomes_ += outcomes;
   if (isJudgedBad_ || levelOf(channel) < threshold()) return;
   isJudgedBad_ = true;
@@ -68,12 +69,12 @@
 }
 
 double FusionCenter::threshold() const {
-  const double rounding = kRoundingDeviations * minReportedMove(deployment_) *
+  const double rounding = kRoundingDeviations * minReportedChange(deployment_) *
                           std::sqrt(deployment_.instanceCount);
   return kThresholdBase + rounding + std::log(std::max(stageOutcomes_, 1.0));
 }
 
-double FusionCenter::highestLevel() const {
+double FusionCenter::highestCusum() const {
   double highest = levelOf(channels_[0]);
   for (const auto &channel : channels_) highest = std::max(highest, levelOf(channel));
   return highest;
--- a/src/policy/fusion_center.h
+++ b/src/policy/fusion_center.h
@@ -21,9 +21,10 @@
 
   void onNewBuild();
   void onNewStage() { stageOutcomes_ = 0; }
-  // An instance's evidence has moved by so much over so many outcomes. lastFailed: the fingerprint of the
-  // endpoint that failed last; 0: none.
-  void onMove(std::size_t channel, double moved, double outcomes, std::uint16_t lastFailed, DueActions &due);
+  // An instance's evidence has moved by so much over so many outcomes. lastFailedFingerprint: the fingerprint
+  // of the endpoint that failed last; 0: none.
+  void onMove(std::size_t channel, double moved, double outcomes, std::uint16_t lastFailedFingerprint,
+              DueActions &due);
   // The report of another instance. Guards against lost, repeated and late reports and against restarts at
   // either end: a report states the totals of its sender's incarnation.
   void onReport(int from, const EvidenceReport &report, DueActions &due);
@@ -31,7 +32,7 @@
   bool isJudgedBad() const { return isJudgedBad_; }
   double threshold() const;
   // The greatest CUSUM of all channels: the channel nearest to the threshold speaks for the build.
-  double highestLevel() const;
+  double highestCusum() const;
   // Outcomes reported in the present stage.
   double stageOutcomes() const { return stageOutcomes_; }
 
--- a/src/policy/outlier_gossip.cpp
+++ b/src/policy/outlier_gossip.cpp
@@ -111,7 +111,7 @@
   return peers;
 }
 
-std::vector<PeerMessage> OutlierGossip::messagesDue(Nanoseconds now, RandomEngine &random) {
+std::vector<PeerMessage> OutlierGossip::takeDueMessages(Nanoseconds now, RandomEngine &random) {
   if (now < nextMessageAt_) return {};
   std::uniform_real_distribution<double> jitter(kMinIntervalJitter, kMaxIntervalJitter);
   nextMessageAt_ = now + static_cast<Nanoseconds>(jitter(random) * kMessageInterval);
--- a/src/policy/outlier_gossip.h
+++ b/src/policy/outlier_gossip.h
@@ -54,10 +54,10 @@
   void onEndpointReplaced(EndpointFingerprint fingerprint);
 
   // The messages to send now. They take the observations made since the ones before.
-  std::vector<PeerMessage> messagesDue(Nanoseconds now, RandomEngine &random);
+  std::vector<PeerMessage> takeDueMessages(Nanoseconds now, RandomEngine &random);
   // Until when the endpoint is to be avoided by what peers report; 0: never reported as failing.
   Nanoseconds suspectUntil(EndpointFingerprint fingerprint) const;
-  std::size_t trackedEndpoints() const { return reports_.size(); }
+  std::size_t trackedEndpointCount() const { return reports_.size(); }
 
 private:
   // What peers have reported of an endpoint. The counts decay.
--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -21,7 +21,7 @@
   put(report.channel, 1);
   put(report.build, 2);
   put(report.incarnation, 2);
-  put(report.lastFailed, 2);
+  put(report.lastFailedFingerprint, 2);
   put(static_cast<std::uint32_t>(scaled), 4);
   put(static_cast<std::uint32_t>(report.outcomes), 4);
   return out;
@@ -39,7 +39,7 @@
   report.channel = get(1);
   report.build = get(2);
   report.incarnation = get(2);
-  report.lastFailed = static_cast<std::uint16_t>(get(2));
+  report.lastFailedFingerprint = static_cast<std::uint16_t>(get(2));
   report.logLikelihoodRatio = static_cast<std::int32_t>(get(4)) / kRatioScale;
   report.outcomes = get(4);
   return report;
--- a/src/policy/peer_messages.h
+++ b/src/policy/peer_messages.h
@@ -16,7 +16,7 @@
   std::uint32_t channel = 0;
   std::uint32_t build = 0;
   std::uint32_t incarnation = 0;
-  std::uint16_t lastFailed =
+  std::uint16_t lastFailedFingerprint =
       0; // fingerprint of the endpoint that failed last since the report before; 0: none
   double logLikelihoodRatio = 0;
   double outcomes = 0;
--- a/src/policy/rollout_roles.cpp
+++ b/src/policy/rollout_roles.cpp
@@ -5,7 +5,7 @@
 namespace myrtlehead {
 
 namespace {
-constexpr double kMinReportedMove = 0.3; // with many fusion centers
+constexpr double kMinReportedChange = 0.3; // with many fusion centers
 }
 
 int fusionCenterCount(const Deployment &deployment) {
@@ -25,8 +25,8 @@
   return std::min(wanted, deployment.instanceCount);
 }
 
-double minReportedMove(const Deployment &deployment) {
-  return kMinReportedMove * std::max(1 - 1.0 * kMinFusionCenters / fusionCenterCount(deployment), 0.0);
+double minReportedChange(const Deployment &deployment) {
+  return kMinReportedChange * std::max(1 - 1.0 * kMinFusionCenters / fusionCenterCount(deployment), 0.0);
 }
 
 } // namespace myrtlehead
--- a/src/policy/rollout_roles.h
+++ b/src/policy/rollout_roles.h
@@ -19,6 +19,6 @@
 int promotionVoterCount(const Deployment &deployment);
 
 // The smallest net move of the log-likelihood ratio that is reported; 0: any.
-double minReportedMove(const Deployment &deployment);
+double minReportedChange(const Deployment &deployment);
 
 } // namespace myrtlehead
--- a/src/policy/rollout_voter.cpp
+++ b/src/policy/rollout_voter.cpp
@@ -40,14 +40,14 @@
   if (!deployment_.hasPeers || !isFusionCenter(deployment_) || !rollout_.isKnown()) return;
   const auto &state = rollout_.state();
   const Vote own{ownVerdict(now), state.build, state.stage};
-  if (own == announced_ && (own.verdict == Verdict::abstain || now < announceAgainAt_)) return;
-  announced_ = own;
+  if (own == announcedPosition_ && (own.verdict == Verdict::abstain || now < announceAgainAt_)) return;
+  announcedPosition_ = own;
   announceAgainAt_ = now + kAnnouncementInterval;
   if (deployment_.instanceCount > 1) due.messages.push_back({-1, encodePosition(own)});
 }
 
 bool RolloutVoter::isInDoubt(double shareOfThreshold) const {
-  return fusion_.highestLevel() > shareOfThreshold * fusion_.threshold();
+  return fusion_.highestCusum() > shareOfThreshold * fusion_.threshold();
 }
 
 // When the newest of the build's ready endpoints started; -1: there is none.
@@ -72,7 +72,7 @@
   if (state.phase == RolloutPhase::released) return Verdict::abstain;
   // Hysteresis: an announced promotion is withdrawn only at the higher threshold, so that one second of noise
   // does not interrupt a stage.
-  const bool isAnnounced = announced_ == Vote{Verdict::promote, state.build, state.stage};
+  const bool isAnnounced = announcedPosition_ == Vote{Verdict::promote, state.build, state.stage};
   const bool doubt = isInDoubt(isAnnounced ? kKeptDoubtShare : kDoubtShare);
   if (deployment_.rollout.control == RolloutControl::timer) return doubt ? Verdict::hold : Verdict::abstain;
   const Nanoseconds newest = newestStart();
@@ -134,21 +134,21 @@
 
 // Whether the latest vote still counts. One on an earlier stage is void.
 bool RolloutVoter::lastVoteStillCounts(const Vote &wanted) const {
-  return voted_.verdict != Verdict::abstain && voted_.build == wanted.build &&
-         (voted_.stage == wanted.stage || voted_.verdict == Verdict::rollBack);
+  return lastVote_.verdict != Verdict::abstain && lastVote_.build == wanted.build &&
+         (lastVote_.stage == wanted.stage || lastVote_.verdict == Verdict::rollBack);
 }
 
 bool RolloutVoter::repeatsLastVote(const Vote &wanted) const {
-  return wanted.verdict == voted_.verdict && wanted.build == voted_.build &&
-         (wanted.stage == voted_.stage || wanted.verdict == Verdict::rollBack);
+  return wanted.verdict == lastVote_.verdict && wanted.build == lastVote_.build &&
+         (wanted.stage == lastVote_.stage || wanted.verdict == Verdict::rollBack);
 }
 
 void RolloutVoter::castVote(Nanoseconds now, DueActions &due) {
   if (isReplyPending_ || now < notBefore_) return;
   const auto &state = rollout_.state();
   const Vote wanted{verdict(now), state.build, state.stage};
-  if (wanted != wanted_) {
-    wanted_ = wanted;
+  if (wanted != wantedVote_) {
+    wantedVote_ = wanted;
     wantedSince_ = now;
   }
   const bool abstains = wanted.verdict == Verdict::abstain;
@@ -160,9 +160,9 @@
   if (!isRepeat)
     due.logLines.push_back(formatLine("votes to %s build %d at stage %d: CUSUM %.1f of %.1f, %.0f outcomes",
                                       nameOf(wanted.verdict), wanted.build, wanted.stage,
-                                      fusion_.highestLevel(), fusion_.threshold(), fusion_.stageOutcomes()));
+                                      fusion_.highestCusum(), fusion_.threshold(), fusion_.stageOutcomes()));
   due.votes.push_back(wanted);
-  voted_ = wanted;
+  lastVote_ = wanted;
   isReplyPending_ = true;
   renewAt_ = now + renewalDelay(wanted.verdict);
 }
--- a/src/policy/rollout_voter.h
+++ b/src/policy/rollout_voter.h
@@ -49,11 +49,11 @@
   const EndpointSet &endpoints_;
   const RolloutTracker &rollout_;
   const FusionCenter &fusion_;
-  std::vector<HeardPosition> positions_;   // by the fusion center's index
-  Vote announced_{Verdict::abstain, 0, 0}; // the own position as last sent
+  std::vector<HeardPosition> positions_;           // by the fusion center's index
+  Vote announcedPosition_{Verdict::abstain, 0, 0}; // the own position as last sent
   Nanoseconds announceAgainAt_ = 0;
-  Vote voted_{Verdict::abstain, 0, 0}; // the latest sent
-  Vote wanted_{Verdict::abstain, 0, 0};
+  Vote lastVote_{Verdict::abstain, 0, 0}; // the latest sent
+  Vote wantedVote_{Verdict::abstain, 0, 0};
   Nanoseconds wantedSince_ = 0;
   bool isReplyPending_ = false;
   Nanoseconds renewAt_ = 0;   // no earlier vote unless the verdict changes
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -125,7 +125,7 @@
   voter_.endEvaluationAfterRelease(rollout_, now);
   slowStart_.updateCompletionRate(now);
   overload_.update(now, due_);
-  test_.reportRest(now, random_, due_);
+  test_.reportRemainders(now, random_, due_);
   voter_.announcePosition(now, due_);
   voter_.castVote(now, due_);
   return std::exchange(due_, {});
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -303,7 +303,7 @@
   updateListTrust();
   auto due = policy_.runDueTasks(now());
   if (policy_.deployment().hasPeers)
-    for (auto &message : gossip_.messagesDue(now(), gossipRandom_))
+    for (auto &message : gossip_.takeDueMessages(now(), gossipRandom_))
       due.messages.push_back(std::move(message));
   for (const auto &line : due.logLines) log_.info(line);
   for (auto &message : due.messages) messages_.push_back(std::move(message));
