--- a/src/policy/exposure_budget.cpp
+++ b/src/policy/exposure_budget.cpp
@@ -5,21 +5,23 @@
 namespace myrtlehead {
 
 namespace {
-constexpr double kRoundingMargin = 1 - 1e-6; // keeps sums of caps under their exact product
+constexpr double kRoundingMargin = 1 - 1e-6; // keeps a rounded sum of caps below the exact product
 }
 
-// What the last incarnation of this instance sent to a candidate is unknown, so no free attempt is assumed
-// left.
+// The credits start at 0: it is unknown what the previous incarnation of this instance has sent to a
+// candidate, so all free attempts are assumed to be used up.
 ExposureBudget::ExposureBudget(const Deployment &deployment, const RolloutTracker &rollout,
                                const EndpointSet &endpoints)
     : deployment_(deployment), rollout_(rollout), endpoints_(endpoints),
       credits_(deployment.rollout.capPerRoute ? std::max<std::size_t>(deployment.routes.size(), 1) : 1, 0.0) {
 }
 
-std::size_t ExposureBudget::indexOf(const Request &request) const {
+std::size_t ExposureBudget::creditIndex(const Request &request) const {
   return deployment_.rollout.capPerRoute ? static_cast<std::size_t>(request.route) : 0;
 }
 
+// The lowest exposure cap of all ready candidates and the newest announced build, or the build after that if
+// it is no candidate any more.
 double ExposureBudget::lowestCap() const {
   const int newest = rollout_.isKnown() ? rollout_.state().build : 0;
   double cap = rollout_.isCandidate(newest) ? rollout_.exposureCap(newest) : rollout_.exposureCap(newest + 1);
@@ -40,7 +42,7 @@
   if (rollout_.stageOf(build) < deployment_.rollout.idempotentOnlyStages &&
       route.idempotency != Idempotency::idempotent)
     return false;
-  return rollout_.exposureCap(build) > 0 && credits_[indexOf(request)] >= 1;
+  return rollout_.exposureCap(build) > 0 && credits_[creditIndex(request)] >= 1;
 }
 
 } // namespace myrtlehead
--- a/src/policy/exposure_budget.h
+++ b/src/policy/exposure_budget.h
@@ -1,9 +1,9 @@
-// Limits the attempts at a candidate build to a part of the requests: within any window, to freeAttempts plus
-// the cap times the requests received.
+// Limits the attempts at candidate builds to a share of the requests: any time window may hold at most
+// freeAttempts plus the exposure cap times the requests received in it.
 //
-// The window is kept as credit: each request adds the cap, each attempt at a candidate takes one, and no more
-// than freeAttempts is ever saved up. So the limit holds for every window that is yet to end as well, also
-// where requests become fewer.
+// The limit is kept as a token bucket: each request adds the cap, each attempt at a candidate takes 1, and
+// the bucket holds at most freeAttempts. The limit therefore also holds for windows that have not ended yet,
+// and while the request rate falls.
 #pragma once
 
 #include "policy/deployment.h"
@@ -18,23 +18,23 @@
 public:
   ExposureBudget(const Deployment &deployment, const RolloutTracker &rollout, const EndpointSet &endpoints);
 
-  // A request was received.
+  // A request has been received.
   void onRequest(const Request &request);
-  // An attempt at a candidate is sent.
+  // An attempt at a candidate is being sent.
   void onAttempt(const Request &request) { creditOf(request) -= 1; }
-  // Whether the candidate build may be sent the request now.
+  // Whether the request may be sent to the candidate build now.
   bool allows(const Request &request, int build) const;
 
 private:
   friend struct PolicyTestPeer;
-  std::size_t indexOf(const Request &request) const;
-  double &creditOf(const Request &request) { return credits_[indexOf(request)]; }
+  std::size_t creditIndex(const Request &request) const;
+  double &creditOf(const Request &request) { return credits_[creditIndex(request)]; }
   double lowestCap() const;
 
   const Deployment &deployment_;
   const RolloutTracker &rollout_;
   const EndpointSet &endpoints_;
-  std::vector<double> credits_; // attempts: one for all routes, or one a route
+  std::vector<double> credits_; // in attempts; a single credit for all routes, or one for each route
 };
 
 } // namespace myrtlehead
--- a/src/policy/fusion_center.cpp
+++ b/src/policy/fusion_center.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-constexpr double kThresholdBase = 8; // the log of the stage's outcomes is added
-constexpr double kRoundingDeviations =
-    1.5; // standard deviations of the total rounding error that the threshold allows for
-constexpr double kOutlierShare = 0.25; // of a build's endpoints, one at least, that count as the others do
+constexpr double kThresholdBase = 8; // the logarithm of the number of the stage's outcomes is added to it
+// The threshold allows for this many standard deviations of the total rounding error of the reports.
+constexpr double kRoundingDeviations = 1.5;
+// Share of a build's endpoints, and one endpoint at least, whose contributions are treated as outliers.
+constexpr double kOutlierShare = 0.25;
 constexpr double kMinEndpointsForOutliers = 3;
-constexpr std::size_t kMaxContributors = 256; // endpoints whose contributions are kept apart
+constexpr std::size_t kMaxContributors = 256; // endpoints with a contribution of their own; bounds memory
 
 } // namespace
 
@@ -43,62 +44,63 @@
   auto &last = channels_[report.channel].reports[static_cast<std::size_t>(from)];
   if (report.incarnation != last.incarnation)
     last = {report.channel, report.build, report.incarnation, 0, 0, 0};
-  if (report.outcomes < last.outcomes) return; // overtaken by a later one; a repeat adds nothing
-  onMove(report.channel, report.logLikelihoodRatio - last.logLikelihoodRatio, report.outcomes - last.outcomes,
-         report.lastFailedFingerprint, due);
+  if (report.outcomes < last.outcomes) return; // a later report has overtaken it; a repeated report adds 0
+  onEvidence(report.channel, report.logLikelihoodRatio - last.logLikelihoodRatio,
+             report.outcomes - last.outcomes, report.lastFailedFingerprint, due);
   last = report;
 }
 
-void FusionCenter::onMove(std::size_t index, double moved, double outcomes,
-                          std::uint16_t lastFailedFingerprint, DueActions &due) {
+void FusionCenter::onEvidence(std::size_t index, double ratioChange, double outcomes,
+                              std::uint16_t lastFailedFingerprint, DueActions &due) {
   auto &channel = channels_[index];
   const double before = std::max(channel.cusum, 0.0);
-  channel.cusum = before + moved;
+  channel.cusum = before + ratioChange;
   const double kept = before > 0 ? std::clamp(channel.cusum / before, 0.0, 1.0) : 0;
   for (auto &[_, contribution] : channel.contributions) contribution *= kept;
-  const bool hasPlace = channel.contributions.size() < kMaxContributors ||
-                        channel.contributions.contains(lastFailedFingerprint);
-  if (moved > 0 && lastFailedFingerprint != 0 && hasPlace)
-    channel.contributions[lastFailedFingerprint] += moved;
+  const bool isTracked = channel.contributions.size() < kMaxContributors ||
+                         channel.contributions.contains(lastFailedFingerprint);
+  if (ratioChange > 0 && lastFailedFingerprint != 0 && isTracked)
+    channel.contributions[lastFailedFingerprint] += ratioChange;
   if (index == 0) stageOutcomes_ += outcomes;
-  if (isJudgedBad_ || levelOf(channel) < threshold()) return;
+  if (isJudgedBad_ || cusumWithoutOutliers(channel) < threshold()) return;
   isJudgedBad_ = true;
-  due.logLines.push_back(formatLine(
-      "build %d is judged bad by channel %d: CUSUM %.1f of %.1f, %.0f outcomes this stage",
-      rollout_.state().build, static_cast<int>(index), channel.cusum, threshold(), stageOutcomes_));
+  due.logLines.push_back(formatLine("build %d is judged bad: CUSUM %.1f of channel %d has reached threshold "
+                                    "%.1f, %.0f outcomes in this stage",
+                                    rollout_.state().build, channel.cusum, static_cast<int>(index),
+                                    threshold(), stageOutcomes_));
 }
 
 double FusionCenter::threshold() const {
-  const double rounding = kRoundingDeviations * minReportedChange(deployment_) *
-                          std::sqrt(deployment_.instanceCount);
-  return kThresholdBase + rounding + std::log(std::max(stageOutcomes_, 1.0));
+  const double roundingAllowance = kRoundingDeviations * minReportedChange(deployment_) *
+                                   std::sqrt(deployment_.instanceCount);
+  return kThresholdBase + roundingAllowance + std::log(std::max(stageOutcomes_, 1.0));
 }
 
 double FusionCenter::highestCusum() const {
-  double highest = levelOf(channels_[0]);
-  for (const auto &channel : channels_) highest = std::max(highest, levelOf(channel));
+  double highest = cusumWithoutOutliers(channels_[0]);
+  for (const auto &channel : channels_) highest = std::max(highest, cusumWithoutOutliers(channel));
   return highest;
 }
 
-FusionCenter::OwnEndpoints FusionCenter::endpointsOfBuild() const {
-  OwnEndpoints count;
+FusionCenter::EndpointCounts FusionCenter::countEndpointsOfBuild() const {
+  EndpointCounts count;
   for (const auto *endpoint : endpoints_.ready()) {
     if (endpoint->info.build != rollout_.state().build) continue;
     ++count.all;
     const Nanoseconds age = stalls_.lastActiveAt() - endpoint->info.startedAt;
-    count.grown += age >= SequentialTest::kMaxColdPeriod;
+    count.pastColdPeriod += age >= SequentialTest::kMaxColdPeriod;
   }
   return count;
 }
 
-// Replaces the contributions of the worst quarter of the build's endpoints by the average of the rest. Guards
-// a good build against a few faulty machines. Could harm where a build hurts few machines alone: those are
-// ejected one by one.
-double FusionCenter::levelOf(const Channel &channel) const {
-  const auto count = endpointsOfBuild();
+// The CUSUM with the contributions of the worst quarter of the build's endpoints replaced by the average of
+// the rest. Guards a good build against a few faulty machines. Limitation: a build that fails on few machines
+// only is not judged bad; the outlier detector ejects those machines one by one.
+double FusionCenter::cusumWithoutOutliers(const Channel &channel) const {
+  const auto count = countEndpointsOfBuild();
   if (count.all < kMinEndpointsForOutliers) return channel.cusum;
-  // Those that come with a stage are counted once they can have shown something.
-  const double endpoints = count.grown < kMinEndpointsForOutliers ? count.all : count.grown;
+  // Endpoints that have just started cannot have failed often yet, so they are left out if enough are older.
+  const double endpoints = count.pastColdPeriod < kMinEndpointsForOutliers ? count.all : count.pastColdPeriod;
   const double outliers = std::max(std::floor(kOutlierShare * endpoints), 1.0);
   std::vector<double> contributions;
   for (const auto &[_, contribution] : channel.contributions) contributions.push_back(contribution);
--- a/src/policy/fusion_center.h
+++ b/src/policy/fusion_center.h
@@ -1,5 +1,6 @@
-// Fuses the evidence that all instances report against the newest build: for each channel the paper's CUSUM,
-// y = max(y, 0) + each reported move. The build is judged bad once a channel crosses the threshold.
+// Fuses the evidence against the newest build that all instances report. Each channel keeps a CUSUM, which is
+// y = max(y, 0) + x for each reported change x of a log-likelihood ratio. The build is judged bad as soon as
+// the CUSUM of one channel reaches the threshold.
 #pragma once
 
 #include "policy/deployment.h"
@@ -21,17 +22,18 @@
 
   void onNewBuild();
   void onNewStage() { stageOutcomes_ = 0; }
-  // An instance's evidence has moved by so much over so many outcomes. lastFailedFingerprint: the fingerprint
-  // of the endpoint that failed last; 0: none.
-  void onMove(std::size_t channel, double moved, double outcomes, std::uint16_t lastFailedFingerprint,
-              DueActions &due);
-  // The report of another instance. Guards against lost, repeated and late reports and against restarts at
-  // either end: a report states the totals of its sender's incarnation.
+  // The log-likelihood ratio of one instance has changed by `ratioChange` over `outcomes` outcomes.
+  // `lastFailedFingerprint` identifies the endpoint that failed last; 0: none.
+  void onEvidence(std::size_t channel, double ratioChange, double outcomes,
+                  std::uint16_t lastFailedFingerprint, DueActions &due);
+  // The report of another instance. It states the totals of its sender's incarnation, so that lost, repeated
+  // and late reports and restarts at either end do no harm.
   void onReport(int from, const EvidenceReport &report, DueActions &due);
 
   bool isJudgedBad() const { return isJudgedBad_; }
+  // The CUSUM at which the build is judged bad. It grows with the number of outcomes of the stage.
   double threshold() const;
-  // The greatest CUSUM of all channels: the channel nearest to the threshold speaks for the build.
+  // The highest CUSUM of all channels, outlying endpoints discounted.
   double highestCusum() const;
   // Outcomes reported in the present stage.
   double stageOutcomes() const { return stageOutcomes_; }
@@ -40,21 +42,21 @@
   friend struct PolicyTestPeer;
   struct Channel {
     double cusum = 0;
-    std::vector<EvidenceReport> reports;           // the latest of each instance
-    std::map<std::uint16_t, double> contributions; // to the CUSUM, by the endpoint that failed
+    std::vector<EvidenceReport> reports;           // the latest report of each instance, by its index
+    std::map<std::uint16_t, double> contributions; // to the CUSUM, by the fingerprint of the failed endpoint
   };
-  struct OwnEndpoints {
+  struct EndpointCounts {
     double all = 0;
-    double grown = 0; // old enough to have shown something
+    double pastColdPeriod = 0; // started at least kMaxColdPeriod ago
   };
-  OwnEndpoints endpointsOfBuild() const;
-  double levelOf(const Channel &channel) const;
+  EndpointCounts countEndpointsOfBuild() const;
+  double cusumWithoutOutliers(const Channel &channel) const;
 
   const Deployment &deployment_;
   const EndpointSet &endpoints_;
   const RolloutTracker &rollout_;
   const StallDetector &stalls_;
-  std::vector<Channel> channels_; // as in SequentialTest
+  std::vector<Channel> channels_; // in the order of SequentialTest's channels
   double stageOutcomes_ = 0;
   bool isJudgedBad_ = false;
 };
--- a/src/policy/outlier_gossip.cpp
+++ b/src/policy/outlier_gossip.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 constexpr Nanoseconds kMessageInterval = kSecond;
-// Spreads the messages of instances that started together; a fraction of the interval.
+// Spreads the messages of instances that started at the same time; factors on kMessageInterval.
 constexpr double kMinIntervalJitter = 0.8;
 constexpr double kMaxIntervalJitter = 1.2;
 constexpr std::size_t kPeersPerMessage = 20;
 
 constexpr double kReportHalfLifeNanoseconds = 3e9;
 constexpr double kMinFailuresToSuspect = 3;
-constexpr double kMinFailureShareToSuspect = 0.6; // of all outcomes reported
+constexpr double kMinFailureShareToSuspect = 0.6; // share of all reported outcomes
 
-constexpr Nanoseconds kBaseSuspectTime = 2 * kSecond; // doubles each time
+constexpr Nanoseconds kBaseSuspectTime = 2 * kSecond; // doubles with each suspicion
 constexpr Nanoseconds kMaxSuspectTime = 8 * kSecond;
-constexpr int kMaxSuspectTimeDoublings = 10; // keeps the shift defined; kMaxSuspectTime is met before
-// Instances that hear the same messages come back to the endpoint at different times.
+constexpr int kMaxSuspectTimeDoublings = 10; // keeps the shift defined; kMaxSuspectTime is reached earlier
+// Makes instances that receive the same messages return to the endpoint at different times.
 constexpr double kMinSuspectTimeJitter = 0.7;
 constexpr double kMaxSuspectTimeJitter = 1.3;
 
 constexpr std::size_t kMaxTrackedEndpoints = 4096;
-constexpr Nanoseconds kReportLifetime = 4 * kMaxSuspectTime; // without a further report
+constexpr Nanoseconds kReportLifetime = 4 * kMaxSuspectTime; // after the last report
 
-constexpr std::size_t kHeaderSize = 3;
-constexpr std::size_t kObservationSize = 5;
+constexpr std::size_t kHeaderSize = 3;      // bytes
+constexpr std::size_t kObservationSize = 5; // bytes
 constexpr std::uint8_t kMaxCount = 255;
 
 std::uint8_t saturatingIncrement(std::uint8_t count) {
@@ -49,44 +49,44 @@
 
 std::vector<std::uint8_t> encodeGossip(const GossipMessage &message) {
   std::vector<std::uint8_t> out{kGossipVersion, highByte(message.senderZone), lowByte(message.senderZone)};
-  for (const auto &o : message.observations)
-    out.insert(out.end(),
-               {highByte(o.fingerprint), lowByte(o.fingerprint), o.failed, o.lostConnections, o.succeeded});
+  for (const auto &each : message.observations)
+    out.insert(out.end(), {highByte(each.fingerprint), lowByte(each.fingerprint), each.failed,
+                           each.lostConnections, each.succeeded});
   return out;
 }
 
 std::optional<GossipMessage> decodeGossip(const std::uint8_t *bytes, std::size_t size) {
   if (size <= kHeaderSize || bytes[0] != kGossipVersion) return std::nullopt;
-  const std::size_t content = size - kHeaderSize;
-  if (content % kObservationSize != 0) return std::nullopt;
-  if (content / kObservationSize > kMaxObservationsPerMessage) return std::nullopt;
+  const std::size_t contentSize = size - kHeaderSize;
+  if (contentSize % kObservationSize != 0) return std::nullopt;
+  if (contentSize / kObservationSize > kMaxObservationsPerMessage) return std::nullopt;
   GossipMessage out{readUint16(bytes + 1), {}};
   for (std::size_t at = kHeaderSize; at < size; at += kObservationSize) {
-    const EndpointObservations o{readUint16(bytes + at), bytes[at + 2], bytes[at + 3], bytes[at + 4]};
-    // No instance sends an observation of no endpoint, or one without a failure.
-    if (o.fingerprint == 0 || failures(o) == 0) return std::nullopt;
-    out.observations.push_back(o);
+    const EndpointObservations each{readUint16(bytes + at), bytes[at + 2], bytes[at + 3], bytes[at + 4]};
+    // Instances send only observations that name an endpoint and hold a failure.
+    if (each.fingerprint == 0 || failures(each) == 0) return std::nullopt;
+    out.observations.push_back(each);
   }
   return out;
 }
 
 void OutlierGossip::onOutcome(EndpointFingerprint fingerprint, Outcome outcome) {
-  const bool isLost = outcome == Outcome::unreachable || outcome == Outcome::reset ||
-                      outcome == Outcome::timedOut;
-  const bool hasFailed = outcome == Outcome::failed;
-  const bool hasSucceeded = outcome == Outcome::succeeded;
-  if (fingerprint == 0 || !(isLost || hasFailed || hasSucceeded)) return;
+  const bool isConnectionLost = outcome == Outcome::unreachable || outcome == Outcome::reset ||
+                                outcome == Outcome::timedOut;
+  const bool isFailure = outcome == Outcome::failed;
+  const bool isSuccess = outcome == Outcome::succeeded;
+  if (fingerprint == 0 || !(isConnectionLost || isFailure || isSuccess)) return;
   auto &observations = observations_[fingerprint];
   observations.fingerprint = fingerprint;
-  if (hasFailed) observations.failed = saturatingIncrement(observations.failed);
-  if (isLost) observations.lostConnections = saturatingIncrement(observations.lostConnections);
-  if (hasSucceeded) {
+  if (isFailure) observations.failed = saturatingIncrement(observations.failed);
+  if (isConnectionLost) observations.lostConnections = saturatingIncrement(observations.lostConnections);
+  if (isSuccess) {
     observations.succeeded = saturatingIncrement(observations.succeeded);
-    reports_.erase(fingerprint); // what this instance has just seen outweighs what peers report
+    reports_.erase(fingerprint); // an own success outweighs the reports of peers
   }
 }
 
-// The endpoints that have failed, those with the most failures first, as many as a message holds.
+// Removes and returns the observations of failed endpoints, most failures first, as many as a message holds.
 std::vector<EndpointObservations> OutlierGossip::takeWorstObservations() {
   std::vector<EndpointObservations> out;
   for (const auto &[fingerprint, observations] : observations_)
@@ -137,42 +137,44 @@
   return reports_.size() < kMaxTrackedEndpoints || reports_.contains(fingerprint);
 }
 
-// Paths between zones differ, so lost connections count only if a peer of this instance's zone reports them.
+// Network paths between zones differ, so lost connections count only if a peer in this instance's zone
+// reports them.
 void OutlierGossip::addReport(PeerReports &reports, int from, const EndpointObservations &observations,
                               bool isSameZone) const {
   const double lostConnections = isSameZone ? observations.lostConnections : 0;
   reports.failed += observations.failed;
   reports.lostConnections += lostConnections;
   reports.succeeded += observations.succeeded;
-  const bool isComplaint = observations.failed + lostConnections > 0;
-  if (!isComplaint) return;
-  if (reports.latestComplainant >= 0 && reports.latestComplainant != from)
-    reports.hasSeveralComplainants = true;
-  reports.latestComplainant = from;
+  const bool reportsFailure = observations.failed + lostConnections > 0;
+  if (!reportsFailure) return;
+  if (reports.latestFailureReporter >= 0 && reports.latestFailureReporter != from)
+    reports.hasSeveralFailureReporters = true;
+  reports.latestFailureReporter = from;
 }
 
-// Two peers at least must complain, so that one whose own network is broken condemns no endpoint.
+// At least two peers must report failures, so that a peer whose own network is broken makes no endpoint
+// suspect.
 bool OutlierGossip::isOutlier(const PeerReports &reports) {
   const double failures = reports.failed + reports.lostConnections;
-  return reports.hasSeveralComplainants && failures >= kMinFailuresToSuspect &&
+  return reports.hasSeveralFailureReporters && failures >= kMinFailuresToSuspect &&
          failures >= kMinFailureShareToSuspect * (failures + reports.succeeded);
 }
 
-void OutlierGossip::makeSuspect(PeerReports &reports, Nanoseconds now, RandomEngine &random) {
+void OutlierGossip::markAsSuspect(PeerReports &reports, Nanoseconds now, RandomEngine &random) {
   const int doublings = std::min(reports.suspicions, kMaxSuspectTimeDoublings);
   ++reports.suspicions;
-  const auto time = static_cast<double>(std::min(kBaseSuspectTime << doublings, kMaxSuspectTime));
+  const auto suspectTime = static_cast<double>(std::min(kBaseSuspectTime << doublings, kMaxSuspectTime));
   std::uniform_real_distribution<double> jitter(kMinSuspectTimeJitter, kMaxSuspectTimeJitter);
-  reports.suspectUntil = now + static_cast<Nanoseconds>(jitter(random) * time);
-  // The next suspicion needs reports of its own.
+  reports.suspectUntil = now + static_cast<Nanoseconds>(jitter(random) * suspectTime);
+  // A further suspicion needs new reports.
   reports.failed = 0;
   reports.lostConnections = 0;
   reports.succeeded = 0;
 }
 
-// Guards against endpoints that fail or have vanished where each instance alone would meet them too seldom to
-// know. Could harm where an endpoint fails for some and serves others: a success of this instance's own ends
-// the suspicion.
+// Guards against endpoints that fail or have disappeared, while each instance alone sends them too few
+// attempts to detect it. Limitation: an endpoint that fails only for some instances is suspected by all of
+// them; a success of an instance's own attempt ends its suspicion.
 void OutlierGossip::onGossip(int from, const GossipMessage &message, Nanoseconds now, RandomEngine &random) {
   if (from < 0 || from >= instanceCount_ || from == ownIndex_) return;
   const bool isSameZone = message.senderZone == zone_;
@@ -182,7 +184,7 @@
     decay(reports, now);
     addReport(reports, from, observations, isSameZone);
     const bool isSuspect = reports.suspectUntil > now;
-    if (!isSuspect && isOutlier(reports)) makeSuspect(reports, now, random);
+    if (!isSuspect && isOutlier(reports)) markAsSuspect(reports, now, random);
   }
   forgetStaleReports(now);
 }
--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -8,40 +8,40 @@
 
 constexpr std::size_t kReportSize = 16;  // bytes
 constexpr std::size_t kPositionSize = 5; // bytes
-constexpr double kRatioScale = 1e4;      // ratios travel as whole multiples of its inverse
+constexpr double kRatioScale = 1e4;      // ratios are encoded as integers in units of 1 / kRatioScale
 
 } // namespace
 
 std::vector<std::uint8_t> encodeReport(const EvidenceReport &report) {
   std::vector<std::uint8_t> out{kReportVersion};
-  const auto put = [&](std::uint32_t value, int bytes) {
+  const auto append = [&](std::uint32_t value, int bytes) {
     while (bytes-- > 0) out.push_back(static_cast<std::uint8_t>(value >> (8 * bytes)));
   };
   const auto scaled = static_cast<std::int32_t>(std::lround(report.logLikelihoodRatio * kRatioScale));
-  put(report.channel, 1);
-  put(report.build, 2);
-  put(report.incarnation, 2);
-  put(report.lastFailedFingerprint, 2);
-  put(static_cast<std::uint32_t>(scaled), 4);
-  put(static_cast<std::uint32_t>(report.outcomes), 4);
+  append(report.channel, 1);
+  append(report.build, 2);
+  append(report.incarnation, 2);
+  append(report.lastFailedFingerprint, 2);
+  append(static_cast<std::uint32_t>(scaled), 4);
+  append(static_cast<std::uint32_t>(report.outcomes), 4);
   return out;
 }
 
 std::optional<EvidenceReport> decodeReport(const std::uint8_t *bytes, std::size_t size) {
   if (size != kReportSize || bytes[0] != kReportVersion) return std::nullopt;
-  const std::uint8_t *at = bytes + 1;
-  const auto get = [&](int count) {
+  const std::uint8_t *next = bytes + 1;
+  const auto read = [&](int count) {
     std::uint32_t value = 0;
-    while (count-- > 0) value = value << 8 | *at++;
+    while (count-- > 0) value = value << 8 | *next++;
     return value;
   };
   EvidenceReport report;
-  report.channel = get(1);
-  report.build = get(2);
-  report.incarnation = get(2);
-  report.lastFailedFingerprint = static_cast<std::uint16_t>(get(2));
-  report.logLikelihoodRatio = static_cast<std::int32_t>(get(4)) / kRatioScale;
-  report.outcomes = get(4);
+  report.channel = read(1);
+  report.build = read(2);
+  report.incarnation = read(2);
+  report.lastFailedFingerprint = static_cast<std::uint16_t>(read(2));
+  report.logLikelihoodRatio = static_cast<std::int32_t>(read(4)) / kRatioScale;
+  report.outcomes = read(4);
   return report;
 }
 
--- a/src/policy/rollout_roles.cpp
+++ b/src/policy/rollout_roles.cpp
@@ -5,7 +5,7 @@
 namespace myrtlehead {
 
 namespace {
-constexpr double kMinReportedChange = 0.3; // with many fusion centers
+constexpr double kMinReportedChange = 0.3; // the limit for many fusion centers
 }
 
 int fusionCenterCount(const Deployment &deployment) {
--- a/src/policy/rollout_tracker.h
+++ b/src/policy/rollout_tracker.h
@@ -1,4 +1,4 @@
-// The rollout as this instance has been notified of it, and which builds are candidates.
+// Keeps the latest rollout state that the platform has sent, and tells which builds are candidates.
 #pragma once
 
 #include "policy/deployment.h"
@@ -14,27 +14,28 @@
 
   struct Change {
     bool isNewBuild = false;
-    bool isNewStage = false; // of the same build
-    bool isChanged = false;  // build, stage or phase
-    bool isFirst = false;    // nothing was known before
+    bool isNewStage = false; // the stage has changed, the build has not
+    bool isChanged = false;  // build, stage or phase has changed
+    bool isFirst = false;    // no state was known before
   };
+  // Takes over the state and returns what has changed.
   Change onState(const RolloutState &state, Nanoseconds now);
 
   bool isKnown() const { return isKnown_; }
   const RolloutState &state() const { return state_; }
-  // Whether a build is a candidate: newer than the newest released one. One that the platform has not named
-  // yet counts as a candidate in its first stage; before it has named any, so does every build but the oldest
-  // ready one.
+  // Whether a build is a candidate, that is, newer than the newest released build. A build that the platform
+  // has not announced yet counts as a candidate in its first stage. Before the platform has announced any
+  // build, every build but the oldest ready one counts as such a candidate.
   bool isCandidate(int build) const;
-  // Attempts at the build for each request, at most.
+  // The maximum number of attempts at the build for each request.
   double exposureCap(int build) const;
   int stageOf(int build) const;
   // When the present stage or phase began.
   Nanoseconds stageStartedAt() const { return stageStartedAt_; }
-  // Whether the newest build is judged: it has been a candidate in this incarnation. One that was released
-  // before has no baseline to be compared with; it is the baseline.
+  // Whether the newest build is being evaluated. Only a build that has been a candidate during this
+  // incarnation is: one released before has no baseline to be compared with and is the baseline itself.
   bool isEvaluated() const { return isEvaluated_; }
-  // The newest build is the baseline from now on.
+  // Makes the newest build the baseline.
   void endEvaluation() { isEvaluated_ = false; }
   bool isRollingBackOrWithdrawn() const {
     return state_.phase == RolloutPhase::rollingBack || state_.phase == RolloutPhase::withdrawn;
--- a/src/policy/rollout_types.h
+++ b/src/policy/rollout_types.h
@@ -1,4 +1,4 @@
-// The values of a rollout: its phases, the votes on it and the platform's replies to them.
+// Types of a rollout: its state, the votes on it and the platform's replies to the votes.
 #pragma once
 
 #include "policy/time.h"
@@ -7,16 +7,16 @@
 
 enum class RolloutPhase { evaluating, rollingBack, released, withdrawn };
 
-// What the platform says of the newest build.
+// The state of the newest build, as the platform reports it.
 struct RolloutState {
   int build = 0;
   int stage = 0;
   RolloutPhase phase = RolloutPhase::evaluating;
-  double exposureCap = 0; // attempts at the build for each request
-  Nanoseconds age = 0;    // since this state began
+  double exposureCap = 0; // attempts at the build for each request, at most
+  Nanoseconds age = 0;    // time since the stage or phase began
 };
 
-// abstain takes back an earlier vote.
+// An abstention withdraws an earlier vote.
 enum class Verdict { abstain, promote, hold, rollBack };
 
 struct Vote {
@@ -26,11 +26,12 @@
   bool operator==(const Vote &) const = default;
 };
 
-// What came of a vote. outdated: it was not on the present build and stage, or means nothing there.
-// timedOut: it may count.
+// The result of a vote. outdated: the vote was not on the present build and stage, or has no meaning in the
+// present phase. timedOut: there was no reply, and the vote may have been counted.
 enum class VoteReply { accepted, outdated, rateLimited, error, timedOut };
 
-// A build number greater than any that can be announced: a candidate for ever.
+// The build of an endpoint whose build is not known. It is greater than any build number that can be
+// announced, so that the endpoint always counts as a candidate.
 constexpr int kUnknownBuild = 65536;
 
 } // namespace myrtlehead
--- a/src/policy/rollout_voter.cpp
+++ b/src/policy/rollout_voter.cpp
@@ -9,21 +9,23 @@
 
 namespace {
 
-// Shares of the threshold: no vote to promote above the first; one that was announced is taken back above the
-// second.
+// Shares of the fusion center's threshold. A build whose CUSUM is above the first one is not promoted; an
+// announced position to promote is withdrawn only above the second one.
 constexpr double kDoubtShare = 0.5;
-constexpr double kKeptDoubtShare = 0.8;
-constexpr Nanoseconds kQuietBeforePromotion = 3 * kSecond; // since the newest start at the build
-constexpr Nanoseconds kStageOverdue = 12 * kSecond; // after a stage began, for its first machine to be listed
-constexpr Nanoseconds kEvaluationTimeAfterRelease = 8 * kSecond; // a release
+constexpr double kWithdrawalShare = 0.8;
+// No vote to promote within this time of the newest start of an endpoint of the build.
+constexpr Nanoseconds kQuietBeforePromotion = 3 * kSecond;
+// How long the endpoint list may take to show the first endpoint of a stage.
+constexpr Nanoseconds kStageListingTimeout = 12 * kSecond;
+constexpr Nanoseconds kEvaluationTimeAfterRelease = 8 * kSecond;
 constexpr Nanoseconds kMaxRenewalDelay = 4 * kSecond;
 constexpr Nanoseconds kAnnouncementInterval = 2 * kSecond;
 constexpr Nanoseconds kPositionLifetime = 5 * kSecond;
-constexpr double kUsedVoteRate = 0.97;       // of the votes a second that the platform accepts
-constexpr double kVoteBurstSeconds = 1.8;    // of that rate, sent at one time
-constexpr double kMinVoteRate = 0.1;         // votes a second
-constexpr double kUncertainRetryDelay = 0.1; // seconds, after a vote with no reply
-constexpr double kRefusedRetryDelay = 0.5;   // seconds, and up to one more by chance
+constexpr double kUsedVoteRateShare = 0.97; // share of the platform's accepted vote rate that is used
+constexpr double kVoteBurstSeconds = 1.8;   // the first burst holds the votes of this many seconds
+constexpr double kMinVoteRate = 0.1;        // votes per second
+constexpr double kNoReplyRetryDelay = 0.1;  // seconds, after a vote without a reply
+constexpr double kRejectedRetryDelay = 0.5; // seconds, plus a random delay of up to one second
 
 } // namespace
 
@@ -58,49 +60,50 @@
   return newest;
 }
 
-// Guards against moving on while the endpoint list lags: the stage's own machines must be seen, or be
-// overdue.
-bool RolloutVoter::hasSeenStage(Nanoseconds newestStart, Nanoseconds now) const {
-  return newestStart >= rollout_.stageStartedAt() || now - rollout_.stageStartedAt() >= kStageOverdue;
+// Guards against promoting while the endpoint list lags behind the rollout: an endpoint that started in this
+// stage must be listed, or the time for listing it must be over.
+bool RolloutVoter::hasSeenStageEndpoints(Nanoseconds newestStart, Nanoseconds now) const {
+  return newestStart >= rollout_.stageStartedAt() || now - rollout_.stageStartedAt() >= kStageListingTimeout;
 }
 
-// The verdict by the evidence that this instance has fused itself.
+// The verdict from the evidence that this instance has fused itself.
 Verdict RolloutVoter::ownVerdict(Nanoseconds now) const {
   const auto &state = rollout_.state();
   if (!rollout_.isKnown() || rollout_.isRollingBackOrWithdrawn()) return Verdict::abstain;
   if (fusion_.isJudgedBad()) return Verdict::rollBack;
   if (state.phase == RolloutPhase::released) return Verdict::abstain;
-  // Hysteresis: an announced promotion is withdrawn only at the higher threshold, so that one second of noise
-  // does not interrupt a stage.
+  // Hysteresis: an announced position to promote is withdrawn only above the higher share of the threshold,
+  // so that one second of noise does not interrupt a stage.
   const bool isAnnounced = announcedPosition_ == Vote{Verdict::promote, state.build, state.stage};
-  const bool doubt = isInDoubt(isAnnounced ? kKeptDoubtShare : kDoubtShare);
+  const bool doubt = isInDoubt(isAnnounced ? kWithdrawalShare : kDoubtShare);
   if (deployment_.rollout.control == RolloutControl::timer) return doubt ? Verdict::hold : Verdict::abstain;
   const Nanoseconds newest = newestStart();
-  if (!hasSeenStage(newest, now)) return Verdict::abstain;
+  if (!hasSeenStageEndpoints(newest, now)) return Verdict::abstain;
   const bool isQuiet = newest >= 0 && now - newest >= kQuietBeforePromotion;
   return !doubt && isQuiet ? Verdict::promote : Verdict::abstain;
 }
 
-// The majority of the recent positions decides where this instance has no evidence of its own, so that no
-// verdict waits for fusion centers that are down. Without any position its own verdict holds.
+// The majority of the recent positions decides if this instance has no evidence of its own; only positions
+// that have arrived count, so that no verdict waits for fusion centers that are down. Without any position,
+// the instance's own verdict stands.
 Verdict RolloutVoter::verdict(Nanoseconds now) const {
   const auto own = ownVerdict(now);
   const auto &state = rollout_.state();
   if (!rollout_.isKnown() || rollout_.isRollingBackOrWithdrawn()) return own;
   if (own == Verdict::rollBack || !deployment_.hasPeers) return own;
-  int heard = 0;
+  int received = 0;
   int promote = 0;
   int rollBack = 0;
-  for (const auto &[position, heardAt] : positions_) {
-    if (heardAt == 0 || now - heardAt >= kPositionLifetime || position.build != state.build) continue;
-    ++heard;
+  for (const auto &[position, receivedAt] : positions_) {
+    if (receivedAt == 0 || now - receivedAt >= kPositionLifetime || position.build != state.build) continue;
+    ++received;
     rollBack += position.verdict == Verdict::rollBack;
     promote += position.verdict == Verdict::promote && position.stage == state.stage;
   }
-  if (heard > 1 && 2 * rollBack > heard) return Verdict::rollBack;
-  const bool hasSeenNothing = own == Verdict::abstain && !isInDoubt(kDoubtShare);
-  if (heard == 0 || (isFusionCenter(deployment_) && !hasSeenNothing)) return own;
-  return 2 * promote > heard ? Verdict::promote : Verdict::abstain;
+  if (received > 1 && 2 * rollBack > received) return Verdict::rollBack;
+  const bool lacksOwnEvidence = own == Verdict::abstain && !isInDoubt(kDoubtShare);
+  if (received == 0 || (isFusionCenter(deployment_) && !lacksOwnEvidence)) return own;
+  return 2 * promote > received ? Verdict::promote : Verdict::abstain;
 }
 
 void RolloutVoter::endEvaluationAfterRelease(RolloutTracker &rollout, Nanoseconds now) const {
@@ -109,30 +112,34 @@
   if (!fusion_.isJudgedBad() && !isInDoubt(kDoubtShare)) rollout.endEvaluation();
 }
 
-// Spreads votes by instance index, as all instances reach a verdict together and the platform limits votes a
-// second: the first kVoteBurstSeconds' worth go at once. Instances that are no voters follow after all
-// voters, in case some are down. Could harm where many of the first are notified late: they then vote among
-// the others.
+// The delay of this instance's vote by its index. All instances reach a verdict at about the same time, but
+// the platform limits the votes per second, so the votes of kVoteBurstSeconds are sent at once and the others
+// one after another. Instances that are not among the voters follow after all voters, in case some voters are
+// down. Limitation: if many of the first instances learn of the rollout state late, their votes coincide with
+// those of later instances.
 Nanoseconds RolloutVoter::turnDelay() const {
   const double allowed = std::max(deployment_.rollout.votesPerSecond, kMinVoteRate);
   const int voters = promotionVoterCount(deployment_);
-  const double before = deployment_.ownIndex + 1 - kVoteBurstSeconds * allowed;
-  const double spare = deployment_.ownIndex < voters ? 0 : voters;
-  return static_cast<Nanoseconds>(std::max(before + spare, 0.0) / (kUsedVoteRate * allowed) * 1e9);
+  const double precedingVotes = deployment_.ownIndex + 1 - kVoteBurstSeconds * allowed;
+  const double extraTurns = deployment_.ownIndex < voters ? 0 : voters;
+  return static_cast<Nanoseconds>(std::max(precedingVotes + extraTurns, 0.0) /
+                                  (kUsedVoteRateShare * allowed) * 1e9);
 }
 
-// How long until a vote is renewed: slowly enough that renewals use half of the accepted rate at most, but
-// before the vote lapses, and never faster than the full rate.
+// The time until a vote is renewed. Renewals use at most half of the accepted vote rate, unless a vote would
+// lapse before its renewal, and never exceed the full rate.
 Nanoseconds RolloutVoter::renewalDelay(Verdict verdict) const {
-  const int voting = verdict == Verdict::rollBack ? fusionCenterCount(deployment_)
-                                                  : promotionVoterCount(deployment_);
+  const int voterCount = verdict == Verdict::rollBack ? fusionCenterCount(deployment_)
+                                                      : promotionVoterCount(deployment_);
   const auto &rollout = deployment_.rollout;
-  const auto fair = static_cast<Nanoseconds>(1e9 * voting / std::max(rollout.votesPerSecond, kMinVoteRate));
+  const auto fullRateInterval = static_cast<Nanoseconds>(1e9 * voterCount /
+                                                         std::max(rollout.votesPerSecond, kMinVoteRate));
   const Nanoseconds lifetime = rollout.voteLifetime;
-  return std::max({std::min(kMaxRenewalDelay, lifetime / 2), std::min(2 * fair, lifetime / 10 * 9), fair});
+  return std::max({std::min(kMaxRenewalDelay, lifetime / 2),
+                   std::min(2 * fullRateInterval, lifetime / 10 * 9), fullRateInterval});
 }
 
-// Whether the latest vote still counts. One on an earlier stage is void.
+// Whether the last vote still counts. A vote on an earlier stage does not, unless it is to roll back.
 bool RolloutVoter::lastVoteStillCounts(const Vote &wanted) const {
   return lastVote_.verdict != Verdict::abstain && lastVote_.build == wanted.build &&
          (lastVote_.stage == wanted.stage || lastVote_.verdict == Verdict::rollBack);
@@ -144,7 +151,7 @@
 }
 
 void RolloutVoter::castVote(Nanoseconds now, DueActions &due) {
-  if (isReplyPending_ || now < notBefore_) return;
+  if (isReplyPending_ || now < noVoteBefore_) return;
   const auto &state = rollout_.state();
   const Vote wanted{verdict(now), state.build, state.stage};
   if (wanted != wantedVote_) {
@@ -153,28 +160,30 @@
   }
   const bool abstains = wanted.verdict == Verdict::abstain;
   if (!abstains && now < wantedSince_ + turnDelay()) return;
-  // A void vote is not taken back: that would cost the next ones their part of the rate.
+  // A vote that no longer counts is not withdrawn, which would use up vote rate that the next votes need.
   if (abstains && (!lastVoteStillCounts(wanted) || state.phase != RolloutPhase::evaluating)) return;
   const bool isRepeat = repeatsLastVote(wanted);
   if (isRepeat && now < renewAt_) return;
   if (!isRepeat)
-    due.logLines.push_back(formatLine("votes to %s build %d at stage %d: CUSUM %.1f of %.1f, %.0f outcomes",
-                                      nameOf(wanted.verdict), wanted.build, wanted.stage,
-                                      fusion_.highestCusum(), fusion_.threshold(), fusion_.stageOutcomes()));
+    due.logLines.push_back(formatLine(
+        "votes to %s build %d at stage %d: CUSUM %.1f, threshold %.1f, %.0f outcomes in this stage",
+        nameOf(wanted.verdict), wanted.build, wanted.stage, fusion_.highestCusum(), fusion_.threshold(),
+        fusion_.stageOutcomes()));
   due.votes.push_back(wanted);
   lastVote_ = wanted;
   isReplyPending_ = true;
   renewAt_ = now + renewalDelay(wanted.verdict);
 }
 
-// A vote that was not accepted is sent again soon; one with no reply may count, and is sent again sooner.
+// A vote that was not accepted is retried after a delay. A vote without a reply may have been counted and is
+// retried sooner.
 void RolloutVoter::onVoteReply(VoteReply reply, Nanoseconds now, RandomEngine &random) {
   isReplyPending_ = false;
   if (reply == VoteReply::accepted) return;
   renewAt_ = now;
-  const double delay = reply == VoteReply::timedOut ? kUncertainRetryDelay
-                                                    : kRefusedRetryDelay + drawUniform(random);
-  notBefore_ = now + static_cast<Nanoseconds>(delay * 1e9);
+  const double delay = reply == VoteReply::timedOut ? kNoReplyRetryDelay
+                                                    : kRejectedRetryDelay + drawUniform(random);
+  noVoteBefore_ = now + static_cast<Nanoseconds>(delay * 1e9);
 }
 
 } // namespace myrtlehead
--- a/src/policy/rollout_voter.h
+++ b/src/policy/rollout_voter.h
@@ -1,5 +1,5 @@
-// What this instance votes on the newest build, and when. Fusion centers announce their positions; other
-// instances follow the majority of them.
+// Decides what this instance votes on the newest build, and when. Fusion centers announce their positions,
+// that is, the votes that they would cast. All other instances follow the majority of these positions.
 #pragma once
 
 #include "policy/deployment.h"
@@ -17,27 +17,29 @@
   RolloutVoter(const Deployment &deployment, const EndpointSet &endpoints, const RolloutTracker &rollout,
                const FusionCenter &fusion);
 
-  // A fusion center's position, heard from a peer.
+  // A peer has announced its position. Only the positions of fusion centers are kept.
   void onPosition(int from, const Vote &position, Nanoseconds now);
   void onVoteReply(VoteReply reply, Nanoseconds now, RandomEngine &random);
-  // Sends a fusion center's own position where it is new, or has not been sent for a while.
+  // Sends a fusion center's own position if it has changed or its last announcement is too old.
   void announcePosition(Nanoseconds now, DueActions &due);
-  // Votes where the verdict is new or an earlier vote is about to lapse, in this instance's turn.
+  // Casts a vote once this instance's turn has come, if the verdict has changed or the earlier vote is about
+  // to lapse.
   void castVote(Nanoseconds now, DueActions &due);
-  // Ends the evaluation of a build that has been released for a while and is not in doubt. Guards against
-  // trouble of the whole fleet long after a release, with nothing left to compare with: such a build is the
-  // baseline of the next. One that turns bad later is missed.
+  // Ends the evaluation of a build that has been released for a while and is not in doubt, which makes it the
+  // baseline of the next build. Guards against blaming the build for trouble of the whole fleet long after
+  // the release, when there is no baseline left to compare it with. Limitation: a build that turns bad after
+  // that is not detected.
   void endEvaluationAfterRelease(RolloutTracker &rollout, Nanoseconds now) const;
 
 private:
   friend struct PolicyTestPeer;
-  struct HeardPosition {
+  struct ReceivedPosition {
     Vote position{Verdict::abstain, 0, 0};
-    Nanoseconds heardAt = 0; // 0: never
+    Nanoseconds receivedAt = 0; // 0: never
   };
   Verdict ownVerdict(Nanoseconds now) const;
   Verdict verdict(Nanoseconds now) const;
-  bool hasSeenStage(Nanoseconds newestStart, Nanoseconds now) const;
+  bool hasSeenStageEndpoints(Nanoseconds newestStart, Nanoseconds now) const;
   bool isInDoubt(double shareOfThreshold) const;
   Nanoseconds newestStart() const;
   Nanoseconds turnDelay() const;
@@ -49,15 +51,15 @@
   const EndpointSet &endpoints_;
   const RolloutTracker &rollout_;
   const FusionCenter &fusion_;
-  std::vector<HeardPosition> positions_;           // by the fusion center's index
+  std::vector<ReceivedPosition> positions_;        // by the fusion center's index
   Vote announcedPosition_{Verdict::abstain, 0, 0}; // the own position as last sent
   Nanoseconds announceAgainAt_ = 0;
-  Vote lastVote_{Verdict::abstain, 0, 0}; // the latest sent
-  Vote wantedVote_{Verdict::abstain, 0, 0};
+  Vote lastVote_{Verdict::abstain, 0, 0};   // the vote last sent
+  Vote wantedVote_{Verdict::abstain, 0, 0}; // the vote that this instance intends to cast
   Nanoseconds wantedSince_ = 0;
   bool isReplyPending_ = false;
-  Nanoseconds renewAt_ = 0;   // no earlier vote unless the verdict changes
-  Nanoseconds notBefore_ = 0; // no vote at all before this
+  Nanoseconds renewAt_ = 0;      // an unchanged vote is not repeated before this time
+  Nanoseconds noVoteBefore_ = 0; // no vote at all is sent before this time
 };
 
 } // namespace myrtlehead
