--- a/src/policy/fusion_center.cpp
+++ b/src/policy/fusion_center.cpp
@@ -64,10 +64,9 @@
   if (index == 0) stageOutcomes_ += outcomes;
   if (isJudgedBad_ || cusumWithoutOutliers(channel) < threshold()) return;
   isJudgedBad_ = true;
-  due.logLines.push_back(formatLine("build %d is judged bad: CUSUM %.1f of channel %d has reached threshold "
-                                    "%.1f, %.0f outcomes in this stage",
-                                    rollout_.state().build, channel.cusum, static_cast<int>(index),
-                                    threshold(), stageOutcomes_));
+  due.logLines.push_back(formatLine(
+      "build %d is judged bad: CUSUM %.1f of channel %d, threshold %.1f, %.0f outcomes in this stage",
+      rollout_.state().build, channel.cusum, static_cast<int>(index), threshold(), stageOutcomes_));
 }
 
 double FusionCenter::threshold() const {
--- a/src/policy/rollout_voter.cpp
+++ b/src/policy/rollout_voter.cpp
@@ -166,9 +166,8 @@
   if (isRepeat && now < renewAt_) return;
   if (!isRepeat)
     due.logLines.push_back(formatLine(
-        "votes to %s build %d at stage %d: CUSUM %.1f, threshold %.1f, %.0f outcomes in this stage",
-        nameOf(wanted.verdict), wanted.build, wanted.stage, fusion_.highestCusum(), fusion_.threshold(),
-        fusion_.stageOutcomes()));
+        "votes to %s build %d at stage %d: CUSUM %.1f, threshold %.1f, %.0f outcomes", nameOf(wanted.verdict),
+        wanted.build, wanted.stage, fusion_.highestCusum(), fusion_.threshold(), fusion_.stageOutcomes()));
   due.votes.push_back(wanted);
   lastVote_ = wanted;
   isReplyPending_ = true;
