--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -15,7 +15,7 @@
       executor_(sched, router, pool, routes, std::move(routeTimeouts)),
       jobs_(sched, registers_, store_, executor_, log_, membership_, std::move(routes), unixAtZero, seed + 1),
       server_(sched, budget, registers_, jobs_, membership_) {
-  if (const auto &error = store_.setAsideFor())
+  if (const auto &error = store_.setAsideReason())
     log_.error(
         "the register store is set aside as ledger.db.refused, and this member starts with an empty one",
         {{"why", error->message}, {"folder", membership_.storeFolder}});
--- a/src/cluster/member_client.cpp
+++ b/src/cluster/member_client.cpp
@@ -9,8 +9,8 @@
 
 namespace http = boost::beast::http;
 
-const char *pathOf(ConsensusCall phase) {
-  return phase == ConsensusCall::prepare ? "/fleet/promise" : "/fleet/accept";
+const char *pathOf(ConsensusPhase phase) {
+  return phase == ConsensusPhase::prepare ? "/fleet/promise" : "/fleet/accept";
 }
 
 std::string postRequest(const char *path, const std::string &host, std::string body) {
@@ -32,7 +32,7 @@
                       net::text(member.address)});
 }
 
-net::Task<net::Result<HttpResponse>> HttpMemberClient::call(std::uint32_t member, ConsensusCall phase,
+net::Task<net::Result<HttpResponse>> HttpMemberClient::call(std::uint32_t member, ConsensusPhase phase,
                                                             std::string body, net::Deadline until) {
   auto &peer = peers_[member];
   if (peer.callsInFlight >= kMaxCallsInFlight)
--- a/src/cluster/member_client.h
+++ b/src/cluster/member_client.h
@@ -11,13 +11,13 @@
 namespace myrtlehead::cluster {
 
 // What a proposer calls at an acceptor: the two phases of a proposal.
-enum class ConsensusCall { prepare, accept };
+enum class ConsensusPhase { prepare, accept };
 
 class MemberClient {
 public:
   virtual ~MemberClient() = default;
   // `body`: the call's JSON, see consensus_messages.
-  virtual net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusCall phase,
+  virtual net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusPhase phase,
                                                     std::string body, net::Deadline until) = 0;
 };
 
@@ -26,7 +26,7 @@
 class HttpMemberClient final : public MemberClient {
 public:
   HttpMemberClient(net::Scheduler &sched, net::DescriptorBudget &budget, const Membership &membership);
-  net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusCall phase, std::string body,
+  net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusPhase phase, std::string body,
                                             net::Deadline until) override;
 
 private:
--- a/src/cluster/register_store.cpp
+++ b/src/cluster/register_store.cpp
@@ -71,8 +71,8 @@
 }
 
 void SqliteRegisterStore::openOrSetAside(const std::string &memberName, std::uint64_t unixNow) {
-  setAsideFor_ = open(memberName, unixNow);
-  if (!setAsideFor_) return;
+  setAsideReason_ = open(memberName, unixNow);
+  if (!setAsideReason_) return;
   sqlite3_close(db_);
   db_ = nullptr;
   std::error_code ignored;
--- a/src/cluster/register_store.h
+++ b/src/cluster/register_store.h
@@ -59,7 +59,7 @@
   // Wakes those that wait in persist(). Runs for as long as the instance lives.
   sched::Task<> notifyPersisted();
   // Why the earlier file was set aside; nullopt: it was not.
-  const std::optional<StorageError> &setAsideFor() const { return setAsideFor_; }
+  const std::optional<StorageError> &setAsideReason() const { return setAsideReason_; }
 
 private:
   struct Write {
@@ -83,7 +83,7 @@
 
   sched::Scheduler &sched_;
   std::string path_;
-  std::optional<StorageError> setAsideFor_;
+  std::optional<StorageError> setAsideReason_;
   sqlite3 *db_ = nullptr;
   int finishedEvent_ = -1; // eventfd: the writer has finished a batch
   std::mutex mutex_;       // guards what the two threads share: the queues and isClosing_
--- a/src/cluster/replicated_registers.cpp
+++ b/src/cluster/replicated_registers.cpp
@@ -65,14 +65,15 @@
   co_return response;
 }
 
-net::Task<std::optional<AcceptorReply>> ReplicatedRegisters::replyOf(std::uint32_t member, ConsensusCall call,
-                                                                     std::string body, net::Deadline until) {
+net::Task<std::optional<AcceptorReply>> ReplicatedRegisters::replyOf(std::uint32_t member,
+                                                                     ConsensusPhase call, std::string body,
+                                                                     net::Deadline until) {
   HttpResponse response;
   if (member != ownIndex_) {
     auto result = co_await memberClient_.call(member, call, std::move(body), until);
     if (!result) co_return std::nullopt;
     response = std::move(*result);
-  } else if (call == ConsensusCall::prepare) {
+  } else if (call == ConsensusPhase::prepare) {
     response = co_await onPrepare(std::move(body));
   } else {
     response = co_await onAccept(std::move(body));
@@ -81,7 +82,7 @@
   co_return parseReply(response.body);
 }
 
-net::Task<> ReplicatedRegisters::callMember(std::uint32_t member, ConsensusCall call, std::string body,
+net::Task<> ReplicatedRegisters::callMember(std::uint32_t member, ConsensusPhase call, std::string body,
                                             net::Deadline until, std::shared_ptr<Phase> phase) {
   const auto reply = co_await replyOf(member, call, std::move(body), until);
   if (reply) {
@@ -95,7 +96,7 @@
 }
 
 // Returns once a quorum has granted, none can any more, or the deadline has passed.
-net::Task<QuorumTally> ReplicatedRegisters::callAll(ConsensusCall call, const ConsensusRequest &request,
+net::Task<QuorumTally> ReplicatedRegisters::callAll(ConsensusPhase call, const ConsensusRequest &request,
                                                     net::Deadline until) {
   const auto body = toJson(request);
   const auto phase = std::make_shared<Phase>(static_cast<int>(memberCount_));
@@ -115,7 +116,7 @@
                                                                          net::Deadline until,
                                                                          ChangeResult &result) {
   ConsensusRequest request{key, {++round_, store_.incarnation(), ownIndex_}, ""};
-  const auto promises = co_await callAll(ConsensusCall::prepare, request, until);
+  const auto promises = co_await callAll(ConsensusPhase::prepare, request, until);
   round_ = std::max(round_, promises.highestRound());
   if (!promises.isReached()) co_return ProposalEnd::undecided;
 
@@ -127,7 +128,7 @@
   }
   // A read is a write of the current value: what a minority holds may be a change that is being made.
   request.value = result.value;
-  const auto accepts = co_await callAll(ConsensusCall::accept, request, until);
+  const auto accepts = co_await callAll(ConsensusPhase::accept, request, until);
   round_ = std::max(round_, accepts.highestRound());
   if (accepts.isReached()) {
     result.outcome = next ? ChangeOutcome::applied : ChangeOutcome::unchanged;
--- a/src/cluster/replicated_registers.h
+++ b/src/cluster/replicated_registers.h
@@ -52,11 +52,11 @@
   enum class ProposalEnd { decided, undecided };
   net::Task<ProposalEnd> propose(const std::string &key, const Transition &transition, net::Deadline until,
                                  ChangeResult &result);
-  net::Task<consensus::QuorumTally> callAll(ConsensusCall call, const ConsensusRequest &request,
+  net::Task<consensus::QuorumTally> callAll(ConsensusPhase call, const ConsensusRequest &request,
                                             net::Deadline until);
-  net::Task<> callMember(std::uint32_t member, ConsensusCall call, std::string body, net::Deadline until,
+  net::Task<> callMember(std::uint32_t member, ConsensusPhase call, std::string body, net::Deadline until,
                          std::shared_ptr<Phase> phase);
-  net::Task<std::optional<consensus::AcceptorReply>> replyOf(std::uint32_t member, ConsensusCall call,
+  net::Task<std::optional<consensus::AcceptorReply>> replyOf(std::uint32_t member, ConsensusPhase call,
                                                              std::string body, net::Deadline until);
   net::Task<HttpResponse> replyOncePersisted(const std::string &key, const consensus::AcceptorReply &reply);
   net::Nanoseconds backoffAfter(int undecided);
