--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -16,9 +16,9 @@
       jobs_(sched, registers_, store_, executor_, log_, membership_, std::move(routes), unixAtZero, seed + 1),
       server_(sched, budget, registers_, jobs_, membership_) {
   if (const auto &error = store_.setAsideReason())
-    log_.error(
-        "the register store is set aside as ledger.db.refused, and this member starts with an empty one",
-        {{"why", error->message}, {"folder", membership_.storeFolder}});
+    log_.error("the register store can't be used; it is renamed to ledger.db.refused, and this member starts "
+               "with an empty store",
+               {{"why", error->message}, {"folder", membership_.storeFolder}});
 }
 
 void ClusterMember::start() {
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -1,4 +1,5 @@
-// One member of the cluster, assembled: its store, client, registers, jobs and server.
+// This instance as a member of the cluster: owns the register store, the client to the other members, the
+// replicated registers, the jobs and the HTTP server.
 #pragma once
 
 #include "cluster/job_server.h"
@@ -7,14 +8,16 @@
 
 class ClusterMember {
 public:
-  // `routeTimeouts`: by the routes' index. `unixAtZero`: the Unix time, in ns, at which the scheduler's clock
-  // read 0. Throws std::runtime_error or std::system_error with a sentence where it can't serve.
+  // `routeTimeouts` is indexed by route. `unixAtZero` is the Unix time, in ns, at which the scheduler's clock
+  // read 0. Throws std::runtime_error if the register store can't be opened, and std::system_error if the
+  // server can't listen.
   ClusterMember(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
                 upstream::ConnectionPool &pool, Membership membership, Routes routes,
                 std::vector<Nanoseconds> routeTimeouts, Nanoseconds unixAtZero, std::uint64_t seed,
                 log::Log log);
+  // Starts the member's tasks on the scheduler.
   void start();
-  // Before an orderly end; returns once the running jobs have ended, or after a lease's duration.
+  // Stops acquiring jobs. Returns once the running jobs have ended, or after the duration of one lease.
   net::Task<> shutdown() { return jobs_.shutdown(); }
   net::Address address() const { return server_.address(); }
 
--- a/src/cluster/consensus_messages.cpp
+++ b/src/cluster/consensus_messages.cpp
@@ -1,5 +1,6 @@
 #include "cluster/consensus_messages.h"
 
+#include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
 namespace myrtlehead::cluster {
@@ -18,7 +19,7 @@
 }
 
 // Throws json::exception.
-Ballot ballotFrom(const json &in) {
+Ballot parseBallot(const json &in) {
   return {in.at(0).get<std::uint64_t>(), in.at(1).get<std::uint64_t>(), in.at(2).get<std::uint32_t>()};
 }
 
@@ -35,9 +36,12 @@
     ConsensusRequest request;
     request.key = in.at("key").get<std::string>();
     request.value = in.value("value", "");
-    request.ballot = ballotFrom(in.at("ballot"));
+    request.ballot = parseBallot(in.at("ballot"));
     if (request.key.empty() || request.key.size() > kMaxKeyBytes || request.value.size() > kMaxValueBytes)
-      throw json::other_error::create(501, "key or value too long", nullptr);
+      throw json::other_error::create(
+          501,
+          fmt::format("key must have 1 to {} bytes and value at most {} bytes", kMaxKeyBytes, kMaxValueBytes),
+          nullptr);
     return request;
   } catch (const json::exception &e) {
     return MalformedMessage{e.what()};
@@ -52,11 +56,11 @@
       .dump();
 }
 
-std::optional<AcceptorReply> parseReply(const std::string &text) {
+std::optional<AcceptorReply> parseAcceptorReply(const std::string &text) {
   try {
     const auto in = json::parse(text);
-    return AcceptorReply{in.at("granted").get<bool>(), ballotFrom(in.at("seen")),
-                         ballotFrom(in.at("accepted")), in.at("value").get<std::string>()};
+    return AcceptorReply{in.at("granted").get<bool>(), parseBallot(in.at("seen")),
+                         parseBallot(in.at("accepted")), in.at("value").get<std::string>()};
   } catch (const json::exception &) {
     return std::nullopt;
   }
--- a/src/cluster/http_message.h
+++ b/src/cluster/http_message.h
@@ -1,4 +1,4 @@
-// HTTP messages as members and clients exchange them.
+// The HTTP messages that members exchange with each other and with clients.
 #pragma once
 
 #include "base/http_client/persistent_connection.h"
--- a/src/cluster/http_server_connection.cpp
+++ b/src/cluster/http_server_connection.cpp
@@ -15,20 +15,22 @@
 
 constexpr std::size_t kMaxBodyBytes = 64 * 1024;
 constexpr std::size_t kMaxHeaderBytes = 8 * 1024;
-constexpr std::size_t kMaxPendingReplies = 64; // of one connection; no further request is read meanwhile
-constexpr Nanoseconds kIdleTimeout = 60'000'000'000;    // without a request
-constexpr Nanoseconds kTransferTimeout = 5'000'000'000; // for a request that has begun, and for a response
+// While a connection has this many unwritten responses, no further request is read from it.
+constexpr std::size_t kMaxPendingResponses = 64;
+constexpr Nanoseconds kIdleTimeout = 60'000'000'000; // 60 s without the first byte of a request
+// 5 s to receive the rest of a request, and to write one response.
+constexpr Nanoseconds kTransferTimeout = 5'000'000'000;
 
 using RequestParser = http::request_parser<http::string_body>;
 
-// A response in the connection's order, which is perhaps not ready yet.
-struct PendingReply {
+// An entry of the connection's response queue. The response may not be ready yet.
+struct PendingResponse {
   bool isReady = false;
-  bool isLast = false; // the connection ends with it
+  bool isLast = false; // the connection is closed after this response
   HttpResponse response;
 };
 
-// Shared by the tasks that read, handle and write.
+// The connection's state, shared by the tasks that read requests, handle them and write responses.
 struct Connection {
   Connection(net::Scheduler &s, std::unique_ptr<net::Socket> connected, const HttpHandler &h)
       : sched(s), socket(std::move(connected)), handler(h) {}
@@ -36,7 +38,7 @@
   std::unique_ptr<net::Socket> socket;
   const HttpHandler &handler;
   net::Buffer received;
-  std::deque<std::shared_ptr<PendingReply>> pending;
+  std::deque<std::shared_ptr<PendingResponse>> pending;
   sched::Event changed;
   bool isClosed = false;
 };
@@ -56,22 +58,24 @@
 enum class ParseState { incomplete, complete, bodyTooLarge, malformed };
 
 const char *reasonOf(ParseState state) {
-  return state == ParseState::bodyTooLarge ? "the body is above 64 KiB" : "no HTTP/1.1 request";
+  return state == ParseState::bodyTooLarge ? "the request body exceeds 64 KiB"
+                                           : "the request is not valid HTTP/1.1, or its header exceeds 8 KiB";
 }
 
-// Gives the parser what was received.
+// Passes the received bytes to the parser and removes the bytes that it has consumed.
 ParseState parse(RequestParser &parser, net::Buffer &received) {
   if (received.view().empty()) return ParseState::incomplete;
   boost::system::error_code error;
   const boost::asio::const_buffer bytes(received.view().data(), received.view().size());
-  const auto used = parser.put(bytes, error);
-  received.consume(used);
+  const auto consumedBytes = parser.put(bytes, error);
+  received.consume(consumedBytes);
   if (error == http::error::body_limit) return ParseState::bodyTooLarge;
   if (error && error != http::error::need_more) return ParseState::malformed;
   return parser.is_done() ? ParseState::complete : ParseState::incomplete;
 }
 
-// Reads until the request is complete or can't be read; ParseState::incomplete: the connection has ended.
+// Reads until a request is complete or invalid. Returns ParseState::incomplete if the connection ended or a
+// timeout passed before that.
 net::Task<ParseState> readRequest(Connection &connection, RequestParser &parser) {
   auto &sched = connection.sched;
   Nanoseconds until = sched.now() + kIdleTimeout;
@@ -84,14 +88,14 @@
   }
 }
 
-net::Task<> handleRequest(ConnectionPtr connection, std::shared_ptr<PendingReply> reply,
+net::Task<> handleRequest(ConnectionPtr connection, std::shared_ptr<PendingResponse> reply,
                           HttpRequest request) {
   reply->response = co_await connection->handler(std::move(request));
   reply->isReady = true;
   connection->changed.notify();
 }
 
-net::Task<> writeReplies(ConnectionPtr connection) {
+net::Task<> writeResponses(ConnectionPtr connection) {
   auto &sched = connection->sched;
   auto &pending = connection->pending;
   while (!connection->isClosed) {
@@ -107,7 +111,7 @@
     if (reply->isLast) connection->socket->shutdownWrite();
     connection->changed.notify();
   }
-  connection->socket->shutdown(); // whoever reads here sees the end
+  connection->socket->shutdown(); // ends the read of a task that still waits for a request
 }
 
 } // namespace
@@ -119,7 +123,7 @@
 net::Task<> serveHttpConnection(net::Scheduler &sched, std::unique_ptr<net::Socket> socket,
                                 const HttpHandler &handler) {
   const auto connection = std::make_shared<Connection>(sched, std::move(socket), handler);
-  sched.spawn(writeReplies(connection));
+  sched.spawn(writeResponses(connection));
   while (!connection->isClosed) {
     RequestParser parser;
     parser.body_limit(kMaxBodyBytes);
@@ -131,7 +135,7 @@
       connection->changed.notify();
       co_return;
     }
-    const auto reply = std::make_shared<PendingReply>();
+    const auto reply = std::make_shared<PendingResponse>();
     connection->pending.push_back(reply);
     reply->isLast = state != ParseState::complete || !parser.get().keep_alive();
     if (state != ParseState::complete) {
@@ -144,7 +148,7 @@
     HttpRequest request{std::string(message.method_string()), std::string(message.target()),
                         std::move(message.body())};
     sched.spawn(handleRequest(connection, reply, std::move(request)));
-    while (connection->pending.size() >= kMaxPendingReplies && !connection->isClosed)
+    while (connection->pending.size() >= kMaxPendingResponses && !connection->isClosed)
       co_await sched.wait(connection->changed);
     if (reply->isLast) co_return;
   }
--- a/src/cluster/job_candidates.cpp
+++ b/src/cluster/job_candidates.cpp
@@ -17,15 +17,16 @@
   return known.job;
 }
 
-// Whether this member may act on the job now, with those that come before it given their time.
-bool JobCandidates::isMyTurn(const std::string &key, const Job &job, Nanoseconds now) {
+// Whether this member may act on the job now: any member may, and the acquisition delay of this member, which
+// gives way to the members that come earlier in the job's order, has passed.
+bool JobCandidates::mayActNow(const std::string &key, const Job &job, Nanoseconds now) {
   const auto action = job_lease::decideLease(job, now, settings_).action;
   if (action != LeaseAction::acquire && action != LeaseAction::abandon) {
     availableSince_.erase(key);
     return false;
   }
   const auto since = availableSince_.emplace(key, now).first->second;
-  return now - since >= job_lease::claimDelay(job.id, ownIndex_, memberCount_);
+  return now - since >= job_lease::acquisitionDelay(job.id, ownIndex_, memberCount_);
 }
 
 void JobCandidates::erase(const std::string &key) {
@@ -34,7 +35,7 @@
   decoded_.erase(key);
 }
 
-std::vector<std::string> JobCandidates::find(Nanoseconds now, const std::set<std::string> &busy) {
+std::vector<std::string> JobCandidates::find(Nanoseconds now, const std::set<std::string> &runningKeys) {
   struct Candidate {
     Job job;
     std::string key;
@@ -45,13 +46,13 @@
   for (const auto &[key, state] : store_.all()) {
     const auto &job = decoded(key, state);
     if (!job) continue;
-    if (job_lease::isRetentionOver(*job, now, settings_)) expired.push_back(key);
-    if (job_lease::isFinished(job->state) || busy.contains(key)) {
+    if (job_lease::isRetentionExpired(*job, now, settings_)) expired.push_back(key);
+    if (job_lease::isFinished(job->state) || runningKeys.contains(key)) {
       availableSince_.erase(key);
       continue;
     }
     ++openCount_;
-    if (isMyTurn(key, *job, now)) candidates.push_back({*job, key});
+    if (mayActNow(key, *job, now)) candidates.push_back({*job, key});
   }
   for (const auto &key : expired) erase(key);
 
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The words that a job's reason has always had for an outcome.
+// The text for an outcome in a job's reason. These texts are stored in job records and reported to clients.
 const char *reasonFor(Outcome outcome) {
   constexpr const char *kReasons[] = {"completed",   "errored", "turned away", "timed out",
                                       "unreachable", "reset",   "cancelled",   "not sent"};
--- a/src/cluster/job_executor.h
+++ b/src/cluster/job_executor.h
@@ -1,4 +1,4 @@
-// Executes a job's statement: by the same routing policy, endpoints and retries as any client's request.
+// Executes a job's statement with the same routing policy, endpoints and retries as a client's request.
 #pragma once
 
 #include "cluster/job_submission.h"
@@ -9,15 +9,16 @@
 class JobExecutor {
 public:
   virtual ~JobExecutor() = default;
-  // Returns once the statement is finished or `cancellation` is set; what may have executed by then counts as
-  // failed.
+  // Returns once the statement has finished or `cancellation` is set. A statement that may have been executed
+  // without a known result counts as failed.
   virtual net::Task<job_lease::ExecutionResult> execute(JobRecord record,
                                                         sched::CancellationToken &cancellation) = 0;
 };
 
+// Sends the statement through the router and the connection pool.
 class RoutedJobExecutor final : public JobExecutor {
 public:
-  // `routeTimeouts`: by the routes' index.
+  // `routeTimeouts` is indexed by route.
   RoutedJobExecutor(net::Scheduler &sched, Router &router, upstream::ConnectionPool &pool, Routes routes,
                     std::vector<Nanoseconds> routeTimeouts)
       : sched_(sched), router_(router), pool_(pool), routes_(std::move(routes)),
--- a/src/cluster/job_manager.cpp
+++ b/src/cluster/job_manager.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-constexpr Nanoseconds kScanInterval = 50 * kMillisecond; // between two scans of the open jobs
-constexpr Nanoseconds kClientTimeout = 3 * kSecond;      // a client waits so long for a quorum
+constexpr Nanoseconds kScanInterval = 50 * kMillisecond; // between two scans for jobs to acquire
+constexpr Nanoseconds kClientTimeout = 3 * kSecond;      // how long a client's request waits for a quorum
 constexpr int kRetryAfterNoQuorumMs = 1000;
-constexpr std::size_t kMaxRecordsPerOpenJob = 20; // finished ones are kept for a while
+// The store may hold this many records for each permitted open job, because finished jobs are retained.
+constexpr std::size_t kMaxRecordsPerOpenJob = 20;
 
 struct ErrorDetails {
-  std::string field;    // "": none is to blame
-  int retryAfterMs = 0; // 0: no time is named
+  std::string field;    // the field that caused the error; empty if no single field did
+  int retryAfterMs = 0; // 0: the response suggests no time for a retry
 };
 
 HttpResponse errorResponse(int status, const std::string &error, const ErrorDetails &details = {}) {
@@ -26,8 +27,9 @@
 HttpResponse noQuorumResponse(ChangeOutcome outcome) {
   const char *error =
       outcome == ChangeOutcome::unknown
-          ? "no majority has confirmed it: it may have been taken; the same mark is safe to send again"
-          : "no majority of the members answers";
+          ? "no quorum has confirmed the job, which may have been accepted; it is safe to submit it again "
+            "with the same mark"
+          : "no quorum of the members has answered";
   return errorResponse(503, error, {.field = "", .retryAfterMs = kRetryAfterNoQuorumMs});
 }
 
@@ -44,7 +46,7 @@
       candidates_(store, membership.leaseSettings, registers.ownIndex(), registers.memberCount()) {}
 
 JobCounters JobManager::counters() const {
-  return {accepted_, rejected_, runner_.counters(), candidates_.openCount(), busy_.size()};
+  return {accepted_, rejected_, runner_.counters(), candidates_.openCount(), runningKeys_.size()};
 }
 
 bool JobManager::isFull() const {
@@ -63,7 +65,8 @@
     co_return reject(errorResponse(400, "expected " + error->expected, {.field = error->field}));
   if (isFull()) {
     const auto retryAfterMs = static_cast<int>(membership_.leaseSettings.leaseDuration / kMillisecond);
-    co_return reject(errorResponse(503, "the queue is full", {.field = "", .retryAfterMs = retryAfterMs}));
+    co_return reject(
+        errorResponse(503, "the job queue is full", {.field = "", .retryAfterMs = retryAfterMs}));
   }
   const auto record = std::get<JobRecord>(std::move(submission));
   const auto key = registerKeyOf(record.job.id);
@@ -76,9 +79,9 @@
   if (change.outcome == ChangeOutcome::noQuorum || change.outcome == ChangeOutcome::unknown)
     co_return reject(noQuorumResponse(change.outcome));
   const auto current = parseStoredJson(change.value);
-  if (!current) co_return errorResponse(500, "its register can't be read");
+  if (!current) co_return errorResponse(500, "the stored record of the job can't be parsed");
   if (!(current->statement == record.statement))
-    co_return errorResponse(409, "another job has this mark", {.field = "mark"});
+    co_return errorResponse(409, "the mark belongs to another job of this submitter", {.field = "mark"});
   const bool isNew = change.value == stored;
   accepted_ += isNew;
   co_return statusResponse(isNew ? 202 : 200, *current);
@@ -96,9 +99,9 @@
 
 net::Task<> JobManager::run() {
   while (!isShuttingDown_) {
-    for (auto &key : candidates_.find(clock_.now(), busy_)) {
-      if (busy_.size() >= static_cast<std::size_t>(membership_.maxRunningJobs)) break;
-      busy_.insert(key);
+    for (auto &key : candidates_.find(clock_.now(), runningKeys_)) {
+      if (runningKeys_.size() >= static_cast<std::size_t>(membership_.maxRunningJobs)) break;
+      runningKeys_.insert(key);
       sched_.spawn(runJob(std::move(key)));
     }
     co_await sched_.sleep(kScanInterval);
@@ -106,18 +109,18 @@
 }
 
 net::Task<> JobManager::runJob(std::string key) {
-  struct BusyMark {
-    std::set<std::string> &busy;
+  struct RunningKeyGuard {
+    std::set<std::string> &keys;
     const std::string &key;
-    ~BusyMark() { busy.erase(key); }
-  } mark{busy_, key};
+    ~RunningKeyGuard() { keys.erase(key); }
+  } guard{runningKeys_, key};
   co_await runner_.run(key);
 }
 
 net::Task<> JobManager::shutdown() {
   isShuttingDown_ = true;
   const Nanoseconds until = sched_.now() + membership_.leaseSettings.leaseDuration;
-  while (!busy_.empty() && sched_.now() < until) co_await sched_.sleep(kScanInterval);
+  while (!runningKeys_.empty() && sched_.now() < until) co_await sched_.sleep(kScanInterval);
 }
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/job_record.cpp
+++ b/src/cluster/job_record.cpp
@@ -16,7 +16,7 @@
 constexpr int kFormatVersion = 1;
 const char *const kStateNames[] = {"queued", "claimed", "begun", "done", "failed", "given up"};
 
-// Throws json::exception.
+// Throws json::exception if a field is missing or has the wrong type.
 void readJob(const json &in, job_lease::Job &out) {
   in.at("id").get_to(out.id);
   in.at("importance").get_to(out.priority);
@@ -32,7 +32,7 @@
   in.at("reason").get_to(out.reason);
 }
 
-// Throws json::exception.
+// Throws json::exception if a field is missing or has the wrong type.
 void readStatement(const json &in, JobStatement &out) {
   in.at("submitter").get_to(out.submitter);
   in.at("mark").get_to(out.idempotencyKey);
@@ -112,7 +112,8 @@
 std::string toSql(const JobRecord &record, Nanoseconds timeout) {
   const auto &job = record.job;
   const auto &statement = record.statement;
-  // Another request id for each start, as endpoints take an id once; the idempotency key stays the job's.
+  // The request id differs for each start, because endpoints accept an id only once. The idempotency key is
+  // the same for every start of the job.
   const auto requestId = XXH64(job.id.data(), job.id.size(),
                                static_cast<std::uint64_t>(job.starts) ^ job.holder.incarnation);
   const auto comment = fmt::format("/* id={:016x},c={},d={},k={} */", requestId, statement.route,
--- a/src/cluster/job_record.h
+++ b/src/cluster/job_record.h
@@ -1,4 +1,5 @@
-// A job with what it executes, as its register stores it, as it is reported to clients, and as SQL.
+// A job together with its statement, and its three representations: the JSON stored in its register, the JSON
+// reported to clients, and SQL.
 #pragma once
 
 #include "policy/job_lease.h"
@@ -8,13 +9,13 @@
 
 namespace myrtlehead::cluster {
 
-// What the job does at its endpoint: one statement on one row.
+// The statement that the job executes at an endpoint: it reads or writes one row.
 struct JobStatement {
   std::string submitter;
-  std::string idempotencyKey; // "mark" in JSON; the submitter's; with `submitter` it identifies the job
-  std::string route;          // a name of the deployment's
+  std::string idempotencyKey; // chosen by the submitter ("mark" in JSON); identifies the job with `submitter`
+  std::string route;          // the name of one of the deployment's routes
   std::string rowKey;         // hexadecimal
-  std::string rowValue;       // hexadecimal; "": the row is read
+  std::string rowValue;       // hexadecimal; empty if the statement reads the row
   bool operator==(const JobStatement &) const = default;
 };
 
@@ -23,24 +24,24 @@
   JobStatement statement;
 };
 
-// The words of the submitters' JSON, in the order of the enum's values.
+// The names of the idempotency kinds in JSON, in the order of the values of Idempotency.
 extern const char *const kIdempotencyNames[3];
 
-// The job's id, 16 hexadecimal digits: the same for the same submitter and idempotency key.
+// Returns the job's id, 16 hexadecimal digits. The same submitter and idempotency key give the same id.
 std::string jobIdOf(const JobStatement &statement);
-// The key of the job's register.
+// Returns the key of the job's register.
 std::string registerKeyOf(const std::string &jobId);
 
-// The register's value.
+// Returns the value of the job's register.
 std::string toStoredJson(const JobRecord &record);
-// nullopt: no record, or not one of this version's form.
+// Returns nullopt if the text is not a job record of the format version that this program writes.
 std::optional<JobRecord> parseStoredJson(const std::string &text);
 
-// The answer to a client that asks for the job.
+// Returns the body of the response to a client that asks for the job's state.
 std::string toStatusJson(const JobRecord &record);
 
-// The statement in the users' protocol; it carries the job's id as idempotency key, by which endpoints
-// recognise a repeat.
+// Returns the statement as a client would send it. The statement carries the job's id as its idempotency key,
+// by which endpoints recognise a repeated execution.
 std::string toSql(const JobRecord &record, Nanoseconds timeout);
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/job_runner.cpp
+++ b/src/cluster/job_runner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Nanoseconds kTransitionTimeout = 2 * kSecond; // of one change of a register
+constexpr Nanoseconds kTransitionTimeout = 2 * kSecond; // for one change of a job's register
 constexpr int kRenewalsPerLease = 3;
 constexpr int kMaxRecordAttempts = 5;
 
@@ -30,63 +30,66 @@
   record = co_await start(key, startsBefore);
   if (!record) co_return;
   ++counters_.started;
-  log_.debug("a job starts", {{"job", record->job.id}, {"starts", record->job.starts}});
+  log_.debug("starting a job", {{"job", record->job.id}, {"starts", record->job.starts}});
   const auto result = co_await executeUnderLease(key, *record);
   co_await recordResult(key, startsBefore + 1, result);
 }
 
-// The record with this member's lease; nullopt: another member has it, or the job was abandoned.
+// Returns the record with this member's lease, or nullopt if another member holds the lease, the job was
+// abandoned or no quorum has confirmed the lease.
 net::Task<std::optional<JobRecord>> JobRunner::acquire(std::string key) {
   const JobTransition acquireOrAbandon = [this](const Job &job) -> std::optional<Job> {
     const auto decision = job_lease::decideLease(job, clock_.now(), settings_);
-    if (decision.action == LeaseAction::abandon) return job_lease::abandoned(job, decision.reason);
+    if (decision.action == LeaseAction::abandon) return job_lease::abandonJob(job, decision.reason);
     if (decision.action != LeaseAction::acquire) return std::nullopt;
-    return job_lease::leased(job, self_, clock_.now(), settings_);
+    return job_lease::acquireLease(job, self_, clock_.now(), settings_);
   };
-  auto record = co_await transition(key, JobState::leased, acquireOrAbandon);
+  auto record = co_await applyTransition(key, JobState::leased, acquireOrAbandon);
   if (!record) co_return std::nullopt;
   if (record->job.state == JobState::abandoned) ++counters_.finished;
-  if (record->job.state != JobState::leased || !isMine(record->job)) co_return std::nullopt;
+  if (record->job.state != JobState::leased || !isHeldBySelf(record->job)) co_return std::nullopt;
   co_return record;
 }
 
-// The record with the start written down; nullopt: it may not be started, by now or any more.
+// Returns the record with the recorded start, or nullopt if this member must not execute the job now.
 net::Task<std::optional<JobRecord>> JobRunner::start(std::string key, int expectedStarts) {
   const JobTransition startOnce = [this, expectedStarts](const Job &job) -> std::optional<Job> {
     if (job.starts != expectedStarts || !mayStart(job)) return std::nullopt;
-    return job_lease::started(job, clock_.now());
+    return job_lease::recordStart(job, clock_.now());
   };
-  auto record = co_await transition(key, JobState::started, startOnce);
+  auto record = co_await applyTransition(key, JobState::started, startOnce);
   if (!record) co_return std::nullopt;
   const bool isStarted = record->job.state == JobState::started && record->job.starts == expectedStarts + 1;
-  // A member that was suspended resumes here, with its start written down and its lease perhaps expired.
+  // Checked once more, because the lease may have expired while the start was being recorded, for example if
+  // this member was suspended.
   if (!isStarted || !mayStart(record->job)) co_return std::nullopt;
   co_return record;
 }
 
 net::Task<ExecutionResult> JobRunner::executeUnderLease(std::string key, const JobRecord &record) {
   const auto execution = std::make_shared<sched::CancellationToken>();
-  sched_.spawn(renewLease(key, execution, record.job.leaseExpiresAt));
+  sched_.spawn(keepLeaseRenewed(key, execution, record.job.leaseExpiresAt));
   auto result = co_await executor_.execute(record, *execution);
   execution->cancel(); // ends the renewals
   co_return result;
 }
 
-// Renews the lease until `execution` is cancelled. Cancels it where no quorum renews the lease in time,
-// before other members may start the job.
-net::Task<> JobRunner::renewLease(std::string key, std::shared_ptr<sched::CancellationToken> execution,
-                                  Nanoseconds expiresAt) {
+// Renews the lease until `execution` is cancelled. If the lease can't be renewed in time, cancels `execution`
+// before another member may start the job.
+net::Task<> JobRunner::keepLeaseRenewed(std::string key, std::shared_ptr<sched::CancellationToken> execution,
+                                        Nanoseconds expiresAt) {
   for (;;) {
-    const auto woken = co_await sched_.sleep(settings_.leaseDuration / kRenewalsPerLease, execution.get());
-    if (woken == sched::WakeReason::cancelled) co_return;
+    const auto wakeReason = co_await sched_.sleep(settings_.leaseDuration / kRenewalsPerLease,
+                                                  execution.get());
+    if (wakeReason == sched::WakeReason::cancelled) co_return;
     const Nanoseconds renewedAt = clock_.now();
-    const auto renewBy = clock_.schedulerTime(expiresAt) - settings_.maxClockSkew;
+    const auto renewBy = clock_.toSchedulerTime(expiresAt) - settings_.maxClockSkew;
     const net::Deadline until{renewBy, execution.get()};
     const ReplicatedRegisters::Transition renew =
         [this, renewedAt](const std::string &current) -> std::optional<std::string> {
       auto record = parseStoredJson(current);
       if (!record || !job_lease::mayStart(record->job, self_, renewedAt, settings_)) return std::nullopt;
-      record->job = job_lease::renewed(record->job, renewedAt, settings_);
+      record->job = job_lease::renewLease(record->job, renewedAt, settings_);
       return toStoredJson(*record);
     };
     const auto change = co_await registers_.change(key, renew, until);
@@ -94,49 +97,52 @@
     if (change.outcome == ChangeOutcome::applied) expiresAt = renewedAt + settings_.leaseDuration;
     const bool isExpiring = clock_.now() + settings_.maxClockSkew >= expiresAt;
     if (change.outcome == ChangeOutcome::unchanged || isExpiring) {
-      ++counters_.leaseNotKept;
-      log_.warning("a job's lease could not be renewed: its execution is stopped", {{"job", key}});
+      ++counters_.leasesLost;
+      log_.warning("the lease of a job could not be renewed; its execution is cancelled", {{"job", key}});
       execution->cancel();
       co_return;
     }
   }
 }
 
-// A result that can't be recorded is left to the next holder of the lease, who finds the job started.
+// Records the result of an execution. If no quorum confirms it, the job stays in the state started, and the
+// next holder of the lease decides whether the job may be started again.
 net::Task<> JobRunner::recordResult(std::string key, int startNumber, const ExecutionResult &result) {
   const double jitter = std::uniform_real_distribution<double>(0, 1)(random_);
   const JobTransition finish = [&](const Job &job) -> std::optional<Job> {
-    if (!isMine(job) || job.state != JobState::started || job.starts != startNumber) return std::nullopt;
-    return job_lease::executed(job, result, clock_.now(), jitter, settings_);
+    if (!isHeldBySelf(job) || job.state != JobState::started || job.starts != startNumber)
+      return std::nullopt;
+    return job_lease::recordExecution(job, result, clock_.now(), jitter, settings_);
   };
   for (int attempt = 0; attempt < kMaxRecordAttempts; ++attempt) {
-    // Only `queued` could be mistaken for a new transition; final states permit none.
-    const auto record = co_await transition(key, JobState::queued, finish);
+    // With the target `queued`, a repeated attempt detects that an earlier attempt queued the job again. An
+    // earlier attempt that finished the job needs no detection: a final state permits no transition.
+    const auto record = co_await applyTransition(key, JobState::queued, finish);
     if (!record) continue;
     counters_.finished += job_lease::isFinished(record->job.state);
-    log_.debug("a job's execution has ended",
+    log_.debug("the execution of a job has ended",
                {{"job", record->job.id}, {"state", static_cast<int>(record->job.state)}});
     break;
   }
 }
 
-// Whether this member made the transition before and lost the reply. Not so for its own lease that has
-// expired: that one must be acquired anew, or the job would never run.
-bool JobRunner::isMadeAlready(const Job &job, JobState target) const {
-  if (job.state != target || !isMine(job)) return false;
+// Whether this member has applied the transition to `target` already and lost the reply. An expired lease of
+// this member does not count as applied: the lease must be acquired again, or the job would never run.
+bool JobRunner::isAlreadyApplied(const Job &job, JobState target) const {
+  if (job.state != target || !isHeldBySelf(job)) return false;
   return target != JobState::leased || mayStart(job);
 }
 
-// The record after the transition, or as it stands where `next` does not permit one; nullopt: no quorum has
-// confirmed either.
-net::Task<std::optional<JobRecord>> JobRunner::transition(std::string key, JobState target,
-                                                          JobTransition next) {
+// Returns the record after the transition, or the current record if `transition` does not permit a change.
+// Returns nullopt if no quorum has confirmed the record, or if the record can't be parsed.
+net::Task<std::optional<JobRecord>> JobRunner::applyTransition(std::string key, JobState target,
+                                                               JobTransition transition) {
   const net::Deadline until{sched_.now() + kTransitionTimeout, nullptr};
   const ReplicatedRegisters::Transition apply =
-      [this, target, next](const std::string &current) -> std::optional<std::string> {
+      [this, target, transition](const std::string &current) -> std::optional<std::string> {
     auto record = parseStoredJson(current);
-    if (!record || isMadeAlready(record->job, target)) return std::nullopt;
-    auto job = next(record->job);
+    if (!record || isAlreadyApplied(record->job, target)) return std::nullopt;
+    auto job = transition(record->job);
     if (!job) return std::nullopt;
     record->job = std::move(*job);
     return toStoredJson(*record);
--- a/src/cluster/job_runner.h
+++ b/src/cluster/job_runner.h
@@ -1,5 +1,5 @@
-// One job on this member, from the acquisition of its lease to the record of its outcome. Each step is a
-// change of the job's register, so that the members agree on every one.
+// Runs one job on this member, from the acquisition of the lease to the recording of the result. Each step is
+// a change of the job's register, so a quorum of the members agrees on every step.
 #pragma once
 
 #include "base/log/log.h"
@@ -9,11 +9,13 @@
 
 namespace myrtlehead::cluster {
 
-// Counts since this instance began.
+// Event counts since this instance started.
 struct JobRunCounters {
   std::uint64_t started = 0;
-  std::uint64_t finished = 0;     // jobs that this member found in a final state when it recorded or acquired
-  std::uint64_t leaseNotKept = 0; // executions stopped as their lease could not be renewed
+  // Jobs found in a final state after this member recorded a result, or found abandoned when it tried to
+  // acquire the lease.
+  std::uint64_t finished = 0;
+  std::uint64_t leasesLost = 0; // executions cancelled because their lease could not be renewed
 };
 
 class JobRunner {
@@ -22,25 +24,27 @@
             JobExecutor &executor, log::Log &log, const job_lease::LeaseSettings &settings,
             const UnixClock &clock, std::uint64_t seed);
 
-  // Acquires the lease of the job with that register, starts and executes it, and records the outcome; or
-  // abandons it. Returns early where another member has the job.
+  // Acquires the lease of the job in the register `key`, starts and executes the job and records the result,
+  // or abandons the job if it must not be started again. Returns early if another member holds the lease or
+  // no quorum confirms a step.
   net::Task<> run(std::string key);
   const JobRunCounters &counters() const { return counters_; }
 
 private:
   using Job = job_lease::Job;
-  using JobTransition = std::function<std::optional<Job>(const Job &)>; // nullopt: not permitted
+  using JobTransition = std::function<std::optional<Job>(const Job &)>; // returns nullopt if not permitted
   using MaybeRecord = std::optional<JobRecord>;
 
   net::Task<MaybeRecord> acquire(std::string key);
   net::Task<MaybeRecord> start(std::string key, int expectedStarts);
   net::Task<job_lease::ExecutionResult> executeUnderLease(std::string key, const JobRecord &record);
-  net::Task<> renewLease(std::string key, std::shared_ptr<sched::CancellationToken> execution,
-                         Nanoseconds expiresAt);
+  net::Task<> keepLeaseRenewed(std::string key, std::shared_ptr<sched::CancellationToken> execution,
+                               Nanoseconds expiresAt);
   net::Task<> recordResult(std::string key, int startNumber, const job_lease::ExecutionResult &result);
-  net::Task<MaybeRecord> transition(std::string key, job_lease::JobState target, JobTransition next);
-  bool isMadeAlready(const Job &job, job_lease::JobState target) const;
-  bool isMine(const Job &job) const { return job.holder == self_; }
+  net::Task<MaybeRecord> applyTransition(std::string key, job_lease::JobState target,
+                                         JobTransition transition);
+  bool isAlreadyApplied(const Job &job, job_lease::JobState target) const;
+  bool isHeldBySelf(const Job &job) const { return job.holder == self_; }
   bool mayStart(const Job &job) const { return job_lease::mayStart(job, self_, clock_.now(), settings_); }
 
   net::Scheduler &sched_;
--- a/src/cluster/job_server.cpp
+++ b/src/cluster/job_server.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kMaxConnections = 256; // further ones are closed at once
+constexpr int kMaxConnections = 256; // further connections are closed as soon as they are accepted
 constexpr Nanoseconds kAcceptTimeout = kSecond;
 
 bool isJobTarget(const std::string &target) {
@@ -58,7 +58,7 @@
   else if (isGet && request.target == "/members")
     response = membersResponse();
   else
-    response = httpError(404, "known are POST /jobs, GET /jobs/ID, GET /members");
+    response = httpError(404, "unknown method or path; expected POST /jobs, GET /jobs/ID or GET /members");
   co_return response;
 }
 
@@ -79,7 +79,7 @@
                             {"refused", counters.rejected},
                             {"begun", counters.runs.started},
                             {"reported", counters.runs.finished},
-                            {"stopped", counters.runs.leaseNotKept}};
+                            {"stopped", counters.runs.leasesLost}};
   const nlohmann::json out{{"me", membership_.members[registers_.ownIndex()].name},
                            {"members", std::move(members)},
                            {"jobs", jobs}};
--- a/src/cluster/job_server.h
+++ b/src/cluster/job_server.h
@@ -1,5 +1,5 @@
-// HTTP for members and clients, on the address that the settings name: consensus calls, submissions, jobs'
-// states, and the members.
+// The HTTP server for members and clients on the address from the settings. It serves consensus calls, job
+// submissions, the state of jobs, and the list of members.
 #pragma once
 
 #include "cluster/http_server_connection.h"
@@ -9,10 +9,10 @@
 
 class JobServer {
 public:
-  // Listens. Throws std::system_error where it can't.
+  // Opens the listening socket. Throws std::system_error if that fails.
   JobServer(net::Scheduler &sched, net::DescriptorBudget &budget, ReplicatedRegisters &registers,
             JobManager &jobs, const Membership &membership);
-  // Accepts connections for as long as the instance lives.
+  // Accepts and serves connections; does not return.
   net::Task<> run();
   net::Address address() const { return net::localAddress(*listener_); }
 
--- a/src/cluster/job_submission.cpp
+++ b/src/cluster/job_submission.cpp
@@ -40,26 +40,28 @@
 }
 
 template <class Words> std::optional<std::size_t> indexOf(const Words &words, const std::string &word) {
-  const auto at = std::find(std::begin(words), std::end(words), word);
-  if (at == std::end(words)) return std::nullopt;
-  return static_cast<std::size_t>(at - std::begin(words));
+  const auto found = std::find(std::begin(words), std::end(words), word);
+  if (found == std::end(words)) return std::nullopt;
+  return static_cast<std::size_t>(found - std::begin(words));
 }
 
-// The field's string, "" where it is absent; false: it is not a string.
+// Reads a string into `out`, which keeps its value if the field is missing. Returns false if the field is not
+// a string.
 bool readString(const json &in, const char *field, std::string &out) {
-  const auto at = in.find(field);
-  if (at == in.end()) return true;
-  if (!at->is_string()) return false;
-  out = at->get<std::string>();
+  const auto found = in.find(field);
+  if (found == in.end()) return true;
+  if (!found->is_string()) return false;
+  out = found->get<std::string>();
   return true;
 }
 
-// The field's integer; `out` stays where it is absent. false: it is not an integer in that range.
+// Reads an integer into `out`, which keeps its value if the field is missing. Returns false if the field is
+// not an integer from `min` to `max`.
 bool readInteger(const json &in, const char *field, std::int64_t min, std::int64_t max, std::int64_t &out) {
-  const auto at = in.find(field);
-  if (at == in.end()) return true;
-  if (!at->is_number_integer()) return false;
-  out = at->get<std::int64_t>();
+  const auto found = in.find(field);
+  if (found == in.end()) return true;
+  if (!found->is_number_integer()) return false;
+  out = found->get<std::int64_t>();
   return out >= min && out <= max;
 }
 
@@ -67,8 +69,8 @@
   if (!in.is_object()) return SubmissionError{"", "one JSON object"};
   for (const auto &[field, _] : in.items())
     if (!indexOf(kFields, field))
-      return SubmissionError{field, "no such field; known are mark, submitter, route, kind, key, "
-                                    "value, due_ms, importance"};
+      return SubmissionError{field, "only the fields mark, submitter, route, kind, key, value, due_ms and "
+                                    "importance"};
   return std::nullopt;
 }
 
@@ -96,18 +98,18 @@
   return std::nullopt;
 }
 
-// The route's idempotency, or a stricter one that the submitter names.
-MaybeError readIdempotency(const json &in, Idempotency ofRoute, Idempotency &out) {
+// Reads the job's idempotency: the route's, or a stricter one if the submission names it.
+MaybeError readIdempotency(const json &in, Idempotency routeIdempotency, Idempotency &out) {
   std::string name;
-  out = ofRoute;
+  out = routeIdempotency;
   if (!readString(in, "kind", name)) return SubmissionError{"kind", "retriable, deduped or non-retriable"};
   if (const auto index = indexOf(kIdempotencyNames, name))
     out = static_cast<Idempotency>(*index);
   else if (!name.empty())
     return SubmissionError{"kind", "retriable, deduped or non-retriable"};
-  if (out < ofRoute)
-    return SubmissionError{"kind", fmt::format("none freer than its route's, which is {}",
-                                               kIdempotencyNames[static_cast<int>(ofRoute)])};
+  if (out < routeIdempotency)
+    return SubmissionError{"kind", fmt::format("a kind at least as strict as the route's, which is {}",
+                                               kIdempotencyNames[static_cast<int>(routeIdempotency)])};
   return std::nullopt;
 }
 
@@ -135,8 +137,8 @@
   if (const auto error = readIdentity(in, statement)) return *error;
   if (const auto error = readRoute(in, routes, statement)) return *error;
   if (const auto error = readRow(in, statement)) return *error;
-  const auto ofRoute = routes.idempotency[*indexOf(routes.names, statement.route)];
-  if (const auto error = readIdempotency(in, ofRoute, job.idempotency)) return *error;
+  const auto routeIdempotency = routes.idempotency[*indexOf(routes.names, statement.route)];
+  if (const auto error = readIdempotency(in, routeIdempotency, job.idempotency)) return *error;
   if (const auto error = readSchedule(in, now, job)) return *error;
   job.id = jobIdOf(statement);
   return record;
--- a/src/cluster/member_client.h
+++ b/src/cluster/member_client.h
@@ -1,5 +1,6 @@
-// Calls from one member to another: a request, a deadline, and a response or how far the request came. The
-// consensus code knows members through MemberClient alone, so the laboratory runs it over links in memory.
+// Calls from one member to another. A call has a request and a deadline; it returns a response, or a failure
+// with the progress of the request. The consensus code reaches other members only through MemberClient, so
+// the laboratory can run that code over simulated links.
 #pragma once
 
 #include "base/http_client/persistent_connection.h"
@@ -10,19 +11,19 @@
 
 namespace myrtlehead::cluster {
 
-// What a proposer calls at an acceptor: the two phases of a proposal.
+// The phase of a proposal, which selects the call from the proposer to the acceptors.
 enum class ConsensusPhase { prepare, accept };
 
 class MemberClient {
 public:
   virtual ~MemberClient() = default;
-  // `body`: the call's JSON, see consensus_messages.
+  // Sends `body`, the JSON of a ConsensusRequest, to the member with this index.
   virtual net::Task<net::Result<HttpResponse>> call(std::uint32_t member, ConsensusPhase phase,
                                                     std::string body, net::Deadline until) = 0;
 };
 
-// One persistent HTTP connection for each member, so that a member that stalls delays no other. Calls beyond
-// kMaxCallsInFlight to one member fail at once, as not connected.
+// Uses one persistent HTTP connection for each member, so that a stalled member does not delay calls to
+// others. Calls beyond kMaxCallsInFlight to one member fail at once with SendProgress::notConnected.
 class HttpMemberClient final : public MemberClient {
 public:
   HttpMemberClient(net::Scheduler &sched, net::DescriptorBudget &budget, const Membership &membership);
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,5 +1,5 @@
-// The cluster's members and their addresses: the [fleet] part of an installation's settings. Members are
-// numbered in the order in which all of them list them.
+// The cluster's members and limits, from [fleet] in the settings. A member's index is its place in the
+// settings' list of members, so all members must list them in the same order.
 #pragma once
 
 #include "base/net/socket.h"
@@ -17,13 +17,13 @@
 };
 
 struct Membership {
-  std::uint32_t ownIndex = 0;  // this instance's place in `members`
-  net::Address listenAddress;  // for HTTP from members and submitters
-  std::string storeFolder;     // of the register store
-  std::vector<Member> members; // with this one
+  std::uint32_t ownIndex = 0;  // the index of this instance in `members`
+  net::Address listenAddress;  // for HTTP requests from members and clients
+  std::string storeFolder;     // the folder of the register store
+  std::vector<Member> members; // all members, this instance included
   job_lease::LeaseSettings leaseSettings;
-  int maxOpenJobs = 1000; // further submissions are rejected for a while
-  int maxRunningJobs = 4; // that this instance executes at once
+  int maxOpenJobs = 1000; // submissions are rejected while this many jobs are open
+  int maxRunningJobs = 4; // the number of jobs that this instance executes at the same time
   bool operator==(const Membership &) const = default;
 };
 
--- a/src/cluster/register_store.cpp
+++ b/src/cluster/register_store.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr std::uint64_t kFormatVersion = 1;
-constexpr std::size_t kMaxBatchWrites = 512; // in one transaction
+constexpr std::size_t kMaxBatchWrites = 512; // the largest number of writes in one transaction
+// 0.5 ms, which is short compared with the time that a disk needs to synchronise a write.
 constexpr sched::Nanoseconds kFinishedPollInterval = 500'000;
 
 void writeRegister(sqlite3 *db, const std::string &key, const consensus::AcceptorState &state) {
@@ -38,13 +39,13 @@
           static_cast<std::uint32_t>(row.numberAt(column + 2))};
 }
 
-// Throws std::runtime_error where the folder can't be made or written.
-void makeWritableFolder(const std::string &folder) {
+// Throws std::runtime_error if the folder can't be created or written.
+void createWritableFolder(const std::string &folder) {
   std::error_code error;
   std::filesystem::create_directories(folder, error);
   if (error || access(folder.c_str(), W_OK) != 0)
-    throw std::runtime_error("fleet.folder: " + folder +
-                             " can't be written: " + (error ? error.message() : std::strerror(errno)));
+    throw std::runtime_error("fleet.folder: the folder " + folder + " can't be created or written: " +
+                             (error ? error.message() : std::strerror(errno)));
 }
 
 } // namespace
@@ -52,10 +53,10 @@
 SqliteRegisterStore::SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder,
                                          const std::string &memberName, std::uint64_t unixNow)
     : sched_(sched), path_(folder + "/ledger.db") {
-  makeWritableFolder(folder);
+  createWritableFolder(folder);
   openOrSetAside(memberName, unixNow);
   finishedEvent_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (finishedEvent_ < 0) throw std::runtime_error("no descriptor left for the fleet's ledger");
+  if (finishedEvent_ < 0) throw std::runtime_error("the register store can't create an eventfd");
   writer_ = std::thread([this] { runWriter(); });
 }
 
@@ -76,18 +77,20 @@
   sqlite3_close(db_);
   db_ = nullptr;
   std::error_code ignored;
-  // With its write-ahead log, which would be taken for the new file's otherwise.
+  // The write-ahead log is renamed as well. Otherwise SQLite would take it for the log of the new file.
   for (const char *suffix : {"", "-wal", "-shm"})
     std::filesystem::rename(path_ + suffix, path_ + ".refused" + suffix, ignored);
   if (const auto error = open(memberName, unixNow))
-    throw std::runtime_error("fleet.folder: " + path_ + ": " + error->message);
+    throw std::runtime_error("fleet.folder: a new register store " + path_ +
+                             " can't be created: " + error->message);
 }
 
 std::optional<StorageError> SqliteRegisterStore::open(const std::string &memberName, std::uint64_t unixNow) {
   try {
     openDatabase();
     if (auto error = readMeta(memberName)) return error;
-    // Above the stored one, and above those of a file that was lost.
+    // The new incarnation is greater than the stored one. If the file was lost, the Unix time makes it
+    // greater than those of earlier runs.
     incarnation_ = std::max(incarnation_ + 1, unixNow);
     executeSql(
         db_,
@@ -112,7 +115,8 @@
   executeSql(db_, "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL");
 }
 
-// The file's format, its member and that member's last incarnation; a new file has none.
+// Checks the file's format version and member, and reads the last incarnation. A new file contains none of
+// them.
 std::optional<StorageError> SqliteRegisterStore::readMeta(const std::string &memberName) {
   executeSql(db_, "CREATE TABLE IF NOT EXISTS meta (form INTEGER, owner BLOB, life INTEGER)");
   SqliteStatement meta(db_, "SELECT form, owner, life FROM meta");
@@ -120,18 +124,19 @@
   const auto format = meta.numberAt(0);
   const auto owner = meta.blobAt(1);
   if (format != kFormatVersion)
-    return StorageError{"it has format " + std::to_string(format) + ", this program writes " +
-                        std::to_string(kFormatVersion)};
+    return StorageError{"the file has format version " + std::to_string(format) +
+                        ", but this program expects version " + std::to_string(kFormatVersion)};
   if (owner != memberName)
-    return StorageError{"it is the register store of '" + owner + "', this member is '" + memberName + "'"};
+    return StorageError{"the file belongs to the member '" + owner + "', but this member is '" + memberName +
+                        "'"};
   incarnation_ = meta.numberAt(2);
   return std::nullopt;
 }
 
 void SqliteRegisterStore::loadRegisters() {
   constexpr int kKey = 0;
-  constexpr int kPromised = 1; // three columns
-  constexpr int kAccepted = 4; // three columns
+  constexpr int kPromised = 1; // the first of three columns
+  constexpr int kAccepted = 4; // the first of three columns
   constexpr int kValue = 7;
   registers_.clear();
   SqliteStatement rows(db_, "SELECT * FROM registers");
@@ -153,7 +158,7 @@
   co_return write->error;
 }
 
-// The writer isn't woken: the erase goes with the next write that somebody waits for.
+// The writer thread is not woken: it writes the erase together with the next persisted register.
 void SqliteRegisterStore::erase(const std::string &key) {
   registers_.erase(key);
   const auto write = std::make_shared<Write>();
@@ -167,7 +172,7 @@
   for (;;) {
     std::uint64_t finishedBatches = 0;
     if (read(finishedEvent_, &finishedBatches, sizeof finishedBatches) != sizeof finishedBatches) {
-      co_await sched_.sleep(kFinishedPollInterval); // short beside the sync of a disk
+      co_await sched_.sleep(kFinishedPollInterval);
       continue;
     }
     Writes finished;
@@ -197,7 +202,7 @@
   }
 }
 
-// Waits for writes; empty once the store closes and none is left.
+// Waits for pending writes. Returns an empty batch once the store is closing and no write is left.
 SqliteRegisterStore::Writes SqliteRegisterStore::nextBatch() {
   std::unique_lock lock(mutex_);
   writerWake_.wait(lock, [&] { return isClosing_ || !pendingWrites_.empty(); });
--- a/src/cluster/register_store.h
+++ b/src/cluster/register_store.h
@@ -1,5 +1,5 @@
-// The durable state of a member: its acceptors' registers, and its incarnation. A reply that promises
-// something leaves only once the register is persisted.
+// The durable state of a member: the acceptor's state of each register, and the member's incarnation. A reply
+// that grants a proposal may be sent only after the register's state has been persisted.
 #pragma once
 
 #include "base/sched/scheduler.h"
@@ -18,26 +18,26 @@
 
 namespace myrtlehead::cluster {
 
-// Why the storage has failed, in the words of the system or of SQLite.
+// Why the storage failed, with the message of the operating system or SQLite.
 struct StorageError {
   std::string message;
 };
 
-// The registers in memory, in the order of their keys; implementations write changes to a disk.
+// Keeps the registers in memory, ordered by key. Implementations write changes to a disk.
 class RegisterStore {
 public:
   using Registers = std::map<std::string, consensus::AcceptorState>;
 
   virtual ~RegisterStore() = default;
-  // The register's state, created empty where there is none.
+  // Returns the register's state; creates an empty state if the register does not exist.
   consensus::AcceptorState &stateOf(const std::string &key) { return registers_[key]; }
   const Registers &all() const { return registers_; }
-  // Returns once the register, as it was at the call, is on the disk. After an error no reply may leave that
-  // depends on it.
+  // Returns once the register's state at the time of the call is on the disk. After an error, no reply that
+  // depends on this state may be sent.
   virtual sched::Task<std::optional<StorageError>> persist(std::string key) = 0;
   // Removes the register, without waiting for the disk.
   virtual void erase(const std::string &key) { registers_.erase(key); }
-  // Greater than that of every earlier run of this member.
+  // The number of this run of the member; greater than the numbers of all its earlier runs.
   std::uint64_t incarnation() const { return incarnation_; }
 
 protected:
@@ -45,20 +45,21 @@
   std::uint64_t incarnation_ = 1;
 };
 
-// In a SQLite file (WAL, synced), written by a thread of its own: all pending writes in one transaction. A
-// file that is damaged, another member's or of a later format is set aside as FILE.refused, and the store
-// starts empty.
+// Stores the registers in a SQLite file with a write-ahead log and full synchronisation. A separate thread
+// writes pending changes, up to a limit in one transaction. A file that is damaged, that belongs to another
+// member or that has another format version is renamed to FILE.refused, and the store starts empty.
 class SqliteRegisterStore final : public RegisterStore {
 public:
-  // `unixNow`: Unix time in ns. Throws std::runtime_error with a sentence where the folder can't be written.
+  // `unixNow` is the Unix time in ns. Throws std::runtime_error if the folder can't be created or written, or
+  // if no new file can be created in it.
   SqliteRegisterStore(sched::Scheduler &sched, const std::string &folder, const std::string &memberName,
                       std::uint64_t unixNow);
   ~SqliteRegisterStore() override;
   sched::Task<std::optional<StorageError>> persist(std::string key) override;
   void erase(const std::string &key) override;
-  // Wakes those that wait in persist(). Runs for as long as the instance lives.
+  // Wakes the coroutines that wait in persist(); does not return.
   sched::Task<> notifyPersisted();
-  // Why the earlier file was set aside; nullopt: it was not.
+  // Why the existing file was renamed to FILE.refused; nullopt if it was not renamed.
   const std::optional<StorageError> &setAsideReason() const { return setAsideReason_; }
 
 private:
@@ -85,8 +86,8 @@
   std::string path_;
   std::optional<StorageError> setAsideReason_;
   sqlite3 *db_ = nullptr;
-  int finishedEvent_ = -1; // eventfd: the writer has finished a batch
-  std::mutex mutex_;       // guards what the two threads share: the queues and isClosing_
+  int finishedEvent_ = -1; // an eventfd, which the writer thread signals after each batch
+  std::mutex mutex_;       // guards pendingWrites_, finishedWrites_ and isClosing_
   std::condition_variable writerWake_;
   Writes pendingWrites_;
   Writes finishedWrites_;
--- a/src/cluster/sqlite_statement.h
+++ b/src/cluster/sqlite_statement.h
@@ -1,5 +1,5 @@
-// A thin layer over SQLite's C functions: prepared statements that end with their scope, errors as
-// exceptions.
+// A thin layer over SQLite's C API: prepared statements are finalised at the end of their scope, and errors
+// are reported as exceptions.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace myrtlehead::cluster {
 
-// One prepared statement. Throws std::runtime_error with SQLite's message.
+// A prepared statement. The constructor and step() throw std::runtime_error with SQLite's message.
 class SqliteStatement {
 public:
   SqliteStatement(sqlite3 *db, const char *sql) {
@@ -20,7 +20,7 @@
   SqliteStatement(const SqliteStatement &) = delete;
   SqliteStatement &operator=(const SqliteStatement &) = delete;
 
-  // Binds the next parameter, from left to right.
+  // Binds the next parameter; parameters are bound from left to right.
   SqliteStatement &bind(const std::string &blob) {
     sqlite3_bind_blob(statement_, ++boundParameters_, blob.data(), static_cast<int>(blob.size()),
                       SQLITE_TRANSIENT);
@@ -31,7 +31,7 @@
     return *this;
   }
 
-  // Advances to the next row; false: there is none.
+  // Advances to the next row. Returns false if there is no further row.
   bool step() {
     const int result = sqlite3_step(statement_);
     if (result != SQLITE_ROW && result != SQLITE_DONE)
@@ -52,7 +52,8 @@
   int boundParameters_ = 0;
 };
 
-// Executes statements without parameters and results. Throws as above.
+// Executes statements that have no parameters and whose results are ignored. Throws std::runtime_error with
+// SQLite's message.
 inline void executeSql(sqlite3 *db, const char *sql) {
   if (sqlite3_exec(db, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
     throw std::runtime_error(sqlite3_errmsg(db));
--- a/src/policy/consensus_register.cpp
+++ b/src/policy/consensus_register.cpp
@@ -10,8 +10,8 @@
   return {true, ballot, state.accepted, state.value};
 }
 
-// A ballot that this member never promised is accepted too, unless it has promised a higher one: the
-// proposer's quorum of promises came from other members.
+// A ballot that this acceptor has never promised is accepted as well, unless the acceptor has promised a
+// higher ballot: the proposer's quorum of promises may have come from other members.
 AcceptorReply accept(AcceptorState &state, Ballot ballot, const std::string &value) {
   if (ballot < state.promised) return {false, state.promised, {}, ""};
   state = {ballot, ballot, value};
--- a/src/policy/job_lease.cpp
+++ b/src/policy/job_lease.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// For each member that comes before: about the time that acquiring a lease takes.
-constexpr Nanoseconds kClaimDelayStep = 150 * kMillisecond;
+// The delay for each member that comes earlier in the job's order; acquiring a lease takes about this long.
+constexpr Nanoseconds kAcquisitionDelayStep = 150 * kMillisecond;
 constexpr int kMaxBackoffDoublings = 20;
 
-// Whether a job that may have run already may be started again.
+// Whether a job that may have been executed already may be started again.
 bool mayRestart(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
   if (job.starts >= settings.maxStarts) return false;
   if (job.idempotency == Idempotency::idempotent) return true;
@@ -19,21 +19,22 @@
          now + settings.maxClockSkew < job.firstStartedAt + job.idempotencyWindow;
 }
 
-const char *whyNotRestarted(const Job &job, const LeaseSettings &settings) {
+// The texts are stored in the job's record and reported to clients.
+const char *restartDeniedReason(const Job &job, const LeaseSettings &settings) {
   if (job.starts >= settings.maxStarts) return "started as often as may be, and its outcome is not known";
   return job.idempotency == Idempotency::idempotentWithKey
              ? "its outcome is not known, and the window of its mark is over"
              : "its outcome is not known, and it may not run twice";
 }
 
-Job finished(Job job, JobState state, const std::string &reason) {
+Job finishJob(Job job, JobState state, const std::string &reason) {
   job.state = state;
   job.reason = reason;
   return job;
 }
 
-Job queuedAgain(Job job, const std::string &reason, Nanoseconds now, double jitter,
-                const LeaseSettings &settings) {
+Job requeueJob(Job job, const std::string &reason, Nanoseconds now, double jitter,
+               const LeaseSettings &settings) {
   const Nanoseconds backoff = std::min(settings.baseBackoff << std::min(job.starts, kMaxBackoffDoublings),
                                        settings.maxBackoff);
   job.state = JobState::queued;
@@ -45,26 +46,26 @@
 } // namespace
 
 LeaseDecision decideLease(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
-  if (isFinished(job.state) || isRetentionOver(job, now, settings)) return {};
+  if (isFinished(job.state) || isRetentionExpired(job, now, settings)) return {};
   const bool isHeld = job.state == JobState::leased || job.state == JobState::started;
   const Nanoseconds grace = job.state == JobState::started ? settings.executionGrace : 0;
   const Nanoseconds freeAt = job.leaseExpiresAt + settings.maxClockSkew + grace;
   if (isHeld && now < freeAt) return {LeaseAction::wait, freeAt, ""};
   if (now >= job.dueAt) return {LeaseAction::abandon, 0, "its due time has passed"};
   if (job.state == JobState::started && !mayRestart(job, now, settings))
-    return {LeaseAction::abandon, 0, whyNotRestarted(job, settings)};
+    return {LeaseAction::abandon, 0, restartDeniedReason(job, settings)};
   if (now < job.notBefore) return {LeaseAction::wait, job.notBefore, ""};
   return {LeaseAction::acquire, 0, ""};
 }
 
-Nanoseconds claimDelay(const std::string &id, std::uint32_t member, std::uint32_t members) {
+Nanoseconds acquisitionDelay(const std::string &id, std::uint32_t member, std::uint32_t members) {
   const auto rank = [&](std::uint32_t m) { return XXH64(id.data(), id.size(), m + 1); };
   std::uint32_t membersBefore = 0;
   for (std::uint32_t m = 0; m < members; ++m) membersBefore += rank(m) > rank(member);
-  return membersBefore * kClaimDelayStep;
+  return membersBefore * kAcquisitionDelayStep;
 }
 
-bool isRetentionOver(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
+bool isRetentionExpired(const Job &job, Nanoseconds now, const LeaseSettings &settings) {
   return now >= job.dueAt + settings.retention;
 }
 
@@ -73,40 +74,41 @@
   return isHeld && job.holder == holder && now + settings.maxClockSkew < job.leaseExpiresAt;
 }
 
-Job leased(Job job, const LeaseHolder &holder, Nanoseconds now, const LeaseSettings &settings) {
+Job acquireLease(Job job, const LeaseHolder &holder, Nanoseconds now, const LeaseSettings &settings) {
   job.state = JobState::leased;
   job.holder = holder;
-  return renewed(std::move(job), now, settings);
+  return renewLease(std::move(job), now, settings);
 }
 
-Job renewed(Job job, Nanoseconds now, const LeaseSettings &settings) {
+Job renewLease(Job job, Nanoseconds now, const LeaseSettings &settings) {
   job.leaseExpiresAt = now + settings.leaseDuration;
   return job;
 }
 
-Job started(Job job, Nanoseconds now) {
+Job recordStart(Job job, Nanoseconds now) {
   job.state = JobState::started;
   ++job.starts;
   if (job.firstStartedAt == 0) job.firstStartedAt = now;
   return job;
 }
 
-Job executed(Job job, const ExecutionResult &result, Nanoseconds now, double jitter,
-             const LeaseSettings &settings) {
+Job recordExecution(Job job, const ExecutionResult &result, Nanoseconds now, double jitter,
+                    const LeaseSettings &settings) {
   if (result.outcome == ExecutionOutcome::succeeded)
-    return finished(std::move(job), JobState::done, result.reason);
-  bool mayQueueAgain = mayRestart(job, now, settings);
+    return finishJob(std::move(job), JobState::done, result.reason);
+  bool mayRequeue = mayRestart(job, now, settings);
   if (result.outcome == ExecutionOutcome::neverExecuted) {
-    // As if it had not been started, except that the start counts: that bounds the work.
+    // The job is treated as not started, except that the start counts towards `maxStarts`, which bounds the
+    // number of attempts.
     if (job.starts <= 1) job.firstStartedAt = 0;
-    mayQueueAgain = job.starts < settings.maxStarts;
+    mayRequeue = job.starts < settings.maxStarts;
   }
-  if (!mayQueueAgain) return finished(std::move(job), JobState::failed, result.reason);
-  return queuedAgain(std::move(job), result.reason, now, jitter, settings);
+  if (!mayRequeue) return finishJob(std::move(job), JobState::failed, result.reason);
+  return requeueJob(std::move(job), result.reason, now, jitter, settings);
 }
 
-Job abandoned(Job job, const std::string &reason) {
-  return finished(std::move(job), JobState::abandoned, reason);
+Job abandonJob(Job job, const std::string &reason) {
+  return finishJob(std::move(job), JobState::abandoned, reason);
 }
 
 } // namespace myrtlehead::job_lease
