--- a/src/control/discovery/endpoint_list.cpp
+++ b/src/control/discovery/endpoint_list.cpp
@@ -11,12 +11,13 @@
 
 using json::Value;
 
-constexpr double kMaxIndex = 9e15; // a double holds every integer up to here
+constexpr double kMaxIndex = 9e15; // a double represents every integer up to this value
 constexpr double kMaxBuild = 65535;
 constexpr double kMaxCell = 65535;
 constexpr double kMaxStartTimeMilliseconds = 1e13;
 
-// The whole part of a number within [least, most]; nullopt: absent, no number, or out of range.
+// Returns the integer part of a number in [least, most]; nullopt if the field is absent, not a number or out
+// of range.
 std::optional<double> readNumber(const Value &in, const char *name, double least, double most) {
   const auto *value = in.find(name);
   if (value == nullptr || value->kind != Value::number) return std::nullopt;
@@ -38,13 +39,13 @@
   return std::nullopt;
 }
 
-// An endpoint that is gone needs neither address nor build.
+// An endpoint that is gone needs neither an address nor a build.
 std::optional<ListError> readAddress(const Value &in, Entry &out) {
   const bool isGone = out.info.state == EndpointState::gone;
   const auto address = readText(in, "address");
   if (!address && !isGone) return ListError::entryWithoutAddress;
   out.address = address.value_or("");
-  if (!isGone && !net::parseAddress(out.address)) return ListError::unreadableAddress;
+  if (!isGone && !net::parseAddress(out.address)) return ListError::invalidAddress;
   return std::nullopt;
 }
 
@@ -55,7 +56,7 @@
   return std::nullopt;
 }
 
-// 0 means long ago, as does a start before the instance's clock began.
+// A start time of 0, or one before the zero of the instance's clock, is decoded as 0, which means "long ago".
 std::optional<ListError> readStartTime(const Value &in, Nanoseconds unixAtZero, Entry &out) {
   if (in.find("since_ms") == nullptr) return std::nullopt;
   const auto startTime = readNumber(in, "since_ms", 0, kMaxStartTimeMilliseconds);
@@ -87,23 +88,23 @@
 const char *describe(ListError error) {
   switch (error) {
   case ListError::noIndex:
-    return "no index";
+    return "'index' is missing or not a number from 0 to 9e15";
   case ListError::noSnapshotFlag:
-    return "no snapshot flag";
+    return "'snapshot' is missing or not a boolean";
   case ListError::noEndpoints:
-    return "no endpoints";
+    return "'endpoints' is missing or not an array";
   case ListError::entryWithoutName:
-    return "an entry without a name";
+    return "the 'name' of an entry is missing, empty or not a string";
   case ListError::unknownStatus:
-    return "an unknown status";
+    return "the 'status' of an entry is not in_service, terminating or terminated";
   case ListError::entryWithoutAddress:
-    return "an entry without an address";
-  case ListError::unreadableAddress:
-    return "an address that can't be read";
+    return "the 'address' of an entry is missing or not a string";
+  case ListError::invalidAddress:
+    return "the 'address' of an entry is not an IP address and port";
   case ListError::entryWithoutBuild:
-    return "an entry without a release";
+    return "the 'release' of an entry is missing or not a number from 0 to 65535";
   case ListError::startTimeOutOfRange:
-    return "a start time out of range";
+    return "the 'since_ms' of an entry is not a number from 0 to 1e13";
   }
   return "";
 }
--- a/src/control/discovery/endpoint_list.h
+++ b/src/control/discovery/endpoint_list.h
@@ -1,4 +1,4 @@
-// Codec of discovery's JSON: the whole endpoint list, or the entries that have changed.
+// Decodes the JSON messages of discovery: the whole endpoint list, or the entries that have changed.
 #pragma once
 
 #include "format/json/json.h"
@@ -8,13 +8,15 @@
 
 namespace myrtlehead::discovery {
 
-// One message of a watch, or the answer to a poll.
+// One message of a watch, or the answer to a poll. Not to be confused with endpoint_merge::EndpointList,
+// which keeps the latest entries.
 struct EndpointListMessage {
-  std::uint64_t index = 0;      // discovery's version of the list; a later watch continues from it
-  bool isSnapshot = false;      // the whole list: endpoints that it lacks are gone
-  std::vector<Entry> endpoints; // all of them, or those that have changed
+  std::uint64_t index = 0;      // discovery's version of the list; a later watch resumes from it
+  bool isSnapshot = false;      // whether it is the whole list, so that endpoints missing from it are removed
+  std::vector<Entry> endpoints; // all endpoints, or only those that have changed
 };
 
+// Why a message is not a valid endpoint list.
 enum class ListError {
   noIndex,
   noSnapshotFlag,
@@ -22,14 +24,16 @@
   entryWithoutName,
   unknownStatus,
   entryWithoutAddress,
-  unreadableAddress,
+  invalidAddress,
   entryWithoutBuild,
   startTimeOutOfRange
 };
+// Returns which field is wrong and what is expected.
 const char *describe(ListError error);
 
-// Reads a list. `zones`: the names of the zones, whose positions stand for them in the result; an unknown
-// name reads as one past the last. `unixAtZero`: the Unix time, in ns, at which the instance's clock read 0.
+// Decodes a list. `zones`: the zone names; the result has the index of each endpoint's zone in it, or
+// zones.size() if the zone is unknown. `unixAtZero`: Unix time, in nanoseconds, at which the instance's clock
+// read 0.
 std::variant<EndpointListMessage, ListError>
 decodeEndpointList(const json::Value &in, const std::vector<std::string> &zones, Nanoseconds unixAtZero);
 
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-// What the end of a call tells of discovery. `poll`: the outcome of the request; `cause`: why the call ended.
-CallEnd classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasMessage) {
+// Classifies the end of a call. `poll`: the result of sending the request. `cause`: why the call ended.
+CallEnd classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasReceivedMessage) {
   if (poll.progress == net::SendProgress::notConnected)
     return poll.cause == net::ErrorCode::refused ? CallEnd::connectionRefused : CallEnd::unreachable;
   const bool isClosed = cause == net::ErrorCode::closedByPeer || cause == net::ErrorCode::connectionLost;
-  return hasMessage && isClosed ? CallEnd::watchClosed : CallEnd::rejected;
+  return hasReceivedMessage && isClosed ? CallEnd::watchClosed : CallEnd::rejected;
 }
 
 } // namespace
 
-bool EndpointWatch::applyInitialList(const json::Value &known) {
-  const auto reading = decodeEndpointList(known, zones_, unixAtZero_);
-  const auto *list = std::get_if<EndpointListMessage>(&reading);
+bool EndpointWatch::applyInitialList(const json::Value &initialList) {
+  const auto decoded = decodeEndpointList(initialList, zones_, unixAtZero_);
+  const auto *list = std::get_if<EndpointListMessage>(&decoded);
   if (list == nullptr) return false;
   listIndex_ = list->index;
   router_.onEndpointUpdates(list->endpoints, true);
@@ -31,24 +31,24 @@
   for (;;) {
     co_await router_.nextListRequest();
     if (!calls_.empty())
-      log_.info("polls discovery again while an earlier watch is open", {{"index", listIndex_}});
+      log_.info("polling discovery again while an earlier watch is still open", {{"index", listIndex_}});
     startCall();
   }
 }
 
-void EndpointWatch::moveTo(net::Address at) {
-  if (at == at_) return;
-  at_ = at;
+void EndpointWatch::moveTo(net::Address address) {
+  if (address == address_) return;
+  address_ = address;
   ++addressVersion_;
   router_.onDiscoveryMoved();
 }
 
-// Guards against a gap in the updates: a new call may get no answer, and an older one may be about to end, so
-// older ones are followed until a newer one has received a message.
+// Earlier calls stay open until a newer one has received a message, so that there is no gap in the updates:
+// the new call may get no answer, and any of the earlier ones may be about to end.
 void EndpointWatch::startCall() {
-  const auto call = std::make_shared<Call>(at_, addressVersion_);
-  calls_[++lastCall_] = call;
-  sched_.spawn(runCall(lastCall_, call));
+  const auto call = std::make_shared<Call>(address_, addressVersion_);
+  calls_[++lastCallNumber_] = call;
+  sched_.spawn(runCall(lastCallNumber_, call));
 }
 
 void EndpointWatch::cancelOlderCalls(CallNumber number) {
@@ -58,12 +58,12 @@
   }
 }
 
-// What is still open at discovery's current address.
+// Returns which calls are still open at discovery's current address.
 OtherCalls EndpointWatch::otherCalls() const {
   auto out = OtherCalls::none;
   for (const auto &[number, call] : calls_)
     if (isAtCurrentAddress(*call))
-      out = std::max(out, call->hasMessage ? OtherCalls::watching : OtherCalls::unanswered);
+      out = std::max(out, call->hasReceivedMessage ? OtherCalls::watching : OtherCalls::unanswered);
   return out;
 }
 
@@ -73,7 +73,7 @@
   const auto target = "/catalog/members?stream=1&index=" + std::to_string(listIndex_);
   auto request = http::writeRequest("GET", target, "discovery");
   const net::Deadline pollDeadline{sched_.now() + kMaxWatchSilence, superseded};
-  const auto poll = co_await exchange.sendRequest(call->at, std::move(request), pollDeadline);
+  const auto poll = co_await exchange.sendRequest(call->address, std::move(request), pollDeadline);
   auto cause = poll.cause;
   if (cause == net::ErrorCode::none && exchange.head().status != 200) cause = net::ErrorCode::refused;
   while (cause == net::ErrorCode::none) {
@@ -85,10 +85,10 @@
   calls_.erase(number);
   if (superseded->isCancelled()) co_return;
   log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", exchange.head().status}});
-  router_.onListClosed(classifyEnd(poll, cause, call->hasMessage), otherCalls(), calls_.empty());
+  router_.onListClosed(classifyEnd(poll, cause, call->hasReceivedMessage), otherCalls(), calls_.empty());
 }
 
-// Takes the whole lines off `received`. An empty line is a keep-alive.
+// Handles and removes the complete lines at the start of `received`. An empty line is a keep-alive.
 net::ErrorCode EndpointWatch::handleMessages(CallNumber number, Call &call, std::string &received) {
   std::string message;
   while (!call.superseded.isCancelled() && http::takeLine(received, message)) {
@@ -96,7 +96,7 @@
       const auto error = applyListUpdate(message);
       if (error != net::ErrorCode::none) return error;
     }
-    call.hasMessage = true;
+    call.hasReceivedMessage = true;
     router_.onListMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
                                                    : MessageSource::previousAddress);
     cancelOlderCalls(number);
@@ -105,17 +105,18 @@
 }
 
 net::ErrorCode EndpointWatch::applyListUpdate(const std::string &message) {
-  std::string why;
-  if (const auto value = json::parse(message, &why)) {
-    const auto reading = decodeEndpointList(*value, zones_, unixAtZero_);
-    if (const auto *list = std::get_if<EndpointListMessage>(&reading)) {
+  std::string problem;
+  if (const auto value = json::parse(message, &problem)) {
+    const auto decoded = decodeEndpointList(*value, zones_, unixAtZero_);
+    if (const auto *list = std::get_if<EndpointListMessage>(&decoded)) {
       listIndex_ = list->index;
       router_.onEndpointUpdates(list->endpoints, list->isSnapshot);
       return net::ErrorCode::none;
     }
-    why = describe(std::get<ListError>(reading));
+    problem = describe(std::get<ListError>(decoded));
   }
-  log_.warning("discovery sent a line that is not an endpoint list", {{"why", why}});
+  log_.warning("discovery sent a line that is not a valid endpoint list; closing the watch",
+               {{"why", problem}});
   return net::ErrorCode::unreadable;
 }
 
--- a/src/control/discovery/endpoint_watch.h
+++ b/src/control/discovery/endpoint_watch.h
@@ -1,5 +1,5 @@
-// Keeps the endpoint list up to date: polls discovery when the router asks for it, and follows the watch that
-// each successful poll becomes. Not thread-safe; all of it runs on the scheduler's thread.
+// Keeps the endpoint list up to date: polls discovery when the router requests it, and reads the watch that
+// each successful poll becomes. Not thread-safe: everything runs on the scheduler's thread.
 #pragma once
 
 #include "base/http_client/exchange.h"
@@ -11,28 +11,30 @@
 
 class EndpointWatch {
 public:
-  // `at`: discovery's address. `zones`, `unixAtZero`: as for decodeEndpointList().
+  // `address`: discovery's address. `zones`, `unixAtZero`: as for decodeEndpointList().
   EndpointWatch(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, log::Log &log,
-                net::Address at, std::vector<std::string> zones, Nanoseconds unixAtZero)
-      : sched_(sched), budget_(budget), router_(router), log_(log), at_(at), zones_(std::move(zones)),
-        unixAtZero_(unixAtZero) {}
+                net::Address address, std::vector<std::string> zones, Nanoseconds unixAtZero)
+      : sched_(sched), budget_(budget), router_(router), log_(log), address_(address),
+        zones_(std::move(zones)), unixAtZero_(unixAtZero) {}
 
   // Applies the list that this instance had before it was restarted. Returns false, and changes nothing, if
-  // `known` is not a list.
-  bool applyInitialList(const json::Value &known);
+  // `initialList` is not a valid list.
+  bool applyInitialList(const json::Value &initialList);
+  // Polls discovery whenever the router requests it. Does not return.
   net::Task<> run();
-  // Polls discovery at its new address. The watch at the old one is followed until the new one has sent
-  // something.
-  void moveTo(net::Address at);
+  // Changes discovery's address. The watch at the previous address is read until a watch at the new address
+  // has received a message.
+  void moveTo(net::Address address);
 
 private:
   // A poll and the watch that it becomes.
   struct Call {
-    Call(net::Address to, std::uint64_t itsAddressVersion) : at(to), addressVersion(itsAddressVersion) {}
-    sched::CancellationToken superseded; // a newer call has received a message
-    net::Address at;
+    Call(net::Address discoveryAddress, std::uint64_t version)
+        : address(discoveryAddress), addressVersion(version) {}
+    sched::CancellationToken superseded; // cancelled when a newer call has received a message
+    net::Address address;
     std::uint64_t addressVersion;
-    bool hasMessage = false; // whether a message has arrived
+    bool hasReceivedMessage = false;
   };
   using CallNumber = std::uint64_t;
 
@@ -48,12 +50,12 @@
   net::DescriptorBudget &budget_;
   Router &router_;
   log::Log &log_;
-  net::Address at_;
+  net::Address address_;
   std::vector<std::string> zones_;
   Nanoseconds unixAtZero_;
-  std::uint64_t listIndex_ = 0; // of the latest list that was applied
-  CallNumber lastCall_ = 0;
-  std::uint64_t addressVersion_ = 0; // grows with each move
+  std::uint64_t listIndex_ = 0; // version of the latest list applied
+  CallNumber lastCallNumber_ = 0;
+  std::uint64_t addressVersion_ = 0; // incremented by each moveTo()
   std::map<CallNumber, std::shared_ptr<Call>> calls_;
 };
 
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-// The first look-ups fall within this time where there is nothing to serve from.
+// FirstLookups::immediate spreads the first look-ups over this time.
 constexpr Nanoseconds kImmediateSpread = kSecond / 4;
 
-// The state is saved at most this often: when no look-up is in flight, and otherwise.
+// Minimum times between saves of the state, without and with look-ups in flight.
 constexpr Nanoseconds kSaveInterval = kSecond;
 constexpr Nanoseconds kSaveIntervalInFlight = 10 * kSecond;
 
-// How long the addresses of the first endpoints are waited for after the first outcome.
-constexpr Nanoseconds kGatherTime = kSecond / 4;
+// After the first outcome, the first merged set is published at the latest after this time, see
+// isInitialWait().
+constexpr Nanoseconds kMaxInitialWait = kSecond / 4;
 
-constexpr Nanoseconds kMaxSleep = 60 * kSecond;
+constexpr Nanoseconds kMaxSleep = 60 * kSecond; // longest wait in run()
 
 DnsRecordsResult recordsResultOf(LookupResult result) {
   switch (result) {
@@ -40,12 +41,12 @@
   return DnsRecordsResult::failed;
 }
 
-const char *textOf(LookupResult result) {
+const char *toText(LookupResult result) {
   constexpr const char *kTexts[] = {"records", "NXDOMAIN", "NODATA", "failed"};
   return kTexts[static_cast<int>(result)];
 }
 
-// Why an SRV look-up gave no records; "" if it did.
+// Returns why an SRV look-up gave no records; "" if it gave records.
 std::string failureOf(const LookupOutcome &outcome) {
   switch (outcome.result) {
   case LookupResult::records:
@@ -70,10 +71,10 @@
   for (const auto &set : settings.srvNames) {
     const auto name = *dns::canonical(set.name);
     merge_.addSrvName(name, set.release, set.zone);
-    sets_.push_back({name, dns::Type::srv});
+    srvQuestions_.push_back({name, dns::Type::srv});
   }
-  lastFailures_.resize(sets_.size());
-  hasOutcome_.resize(sets_.size());
+  lastFailures_.resize(srvQuestions_.size());
+  hasOutcome_.resize(srvQuestions_.size());
   setServers(settings.servers);
 }
 
@@ -94,27 +95,28 @@
 
 net::Task<> DnsDiscovery::run(FirstLookups first) {
   const Nanoseconds spread = first == FirstLookups::spread ? settings_.startSpread : kImmediateSpread;
-  for (const auto &question : sets_) schedule_.add(question, spread, sched_.now());
+  for (const auto &question : srvQuestions_) schedule_.add(question, spread, sched_.now());
   scheduleHosts();
   for (;;) {
     while (const auto question = schedule_.startDue(sched_.now())) sched_.spawn(lookUp(*question));
     const bool isDue = needsPublishing_ || merge_.nextChange(publishedAt_) <= sched_.now();
-    if (isDue && !isGathering()) publish();
+    if (isDue && !isInitialWait()) publish();
     saveIfDue();
     Nanoseconds wakeAt = std::min(
         {schedule_.nextDueAt(), merge_.nextChange(publishedAt_), sched_.now() + kMaxSleep});
-    if (isGathering() && gatherUntil_ != 0) wakeAt = std::min(wakeAt, gatherUntil_);
+    if (isInitialWait() && initialWaitEnd_ != 0) wakeAt = std::min(wakeAt, initialWaitEnd_);
     const sched::Deadline deadline{wakeAt, nullptr};
     co_await sched_.wait(lookupFinished_, deadline);
   }
 }
 
-// Guards the few endpoints whose addresses come first after a start against the requests of all.
-bool DnsDiscovery::isGathering() {
+// Returns whether publishing is delayed because the first look-ups have not finished. Otherwise the few
+// endpoints whose addresses are resolved first after a start would receive all requests.
+bool DnsDiscovery::isInitialWait() {
   const bool isLookingUp = schedule_.inFlight() > 0 || schedule_.nextDueAt() <= sched_.now();
-  const bool isOver = gatherUntil_ != 0 && (!isLookingUp || sched_.now() >= gatherUntil_);
-  hasGathered_ = hasGathered_ || isOver;
-  return !hasGathered_;
+  const bool isOverNow = initialWaitEnd_ != 0 && (!isLookingUp || sched_.now() >= initialWaitEnd_);
+  isInitialWaitOver_ = isInitialWaitOver_ || isOverNow;
+  return !isInitialWaitOver_;
 }
 
 net::Task<QueryResult> DnsDiscovery::send(const dns_resolution::Query &query) {
@@ -144,7 +146,7 @@
   metrics_.onLookupFinished(outcome.result);
   log_.debug("DNS look-up", {{"name", question.name},
                              {"type", word(question.type)},
-                             {"result", textOf(outcome.result)},
+                             {"result", toText(outcome.result)},
                              {"records", outcome.records.size()},
                              {"failure", outcome.failure}});
   if (schedule_.onOutcome(question, outcome, sched_.now())) onOutcome(question, outcome);
@@ -152,9 +154,9 @@
 }
 
 void DnsDiscovery::onOutcome(const dns::Question &question, const LookupOutcome &outcome) {
-  const auto set = std::find(sets_.begin(), sets_.end(), question);
-  if (set != sets_.end())
-    onSrvOutcome(static_cast<std::size_t>(set - sets_.begin()), question, outcome);
+  const auto set = std::find(srvQuestions_.begin(), srvQuestions_.end(), question);
+  if (set != srvQuestions_.end())
+    onSrvOutcome(static_cast<std::size_t>(set - srvQuestions_.begin()), question, outcome);
   else
     onHostOutcome(question, outcome);
   needsPublishing_ = true;
@@ -172,17 +174,17 @@
       targets.push_back({record.target, record.port, record.priority, record.weight});
   if (result == DnsRecordsResult::records && targets.empty()) {
     result = DnsRecordsResult::notAvailable;
-    lastFailures_[set] = "decidedly not available: the target is '.'";
+    lastFailures_[set] = "the service is not available: the SRV target is '.' (RFC 2782)";
   }
   const auto next = merge_.onSrvAnswer(set, result, targets, schedule_.validUntil(question), sched_.now());
   if (next == NextLookup::soon)
     schedule_.refreshSoon(question, settings_.merge.lossRetention.confirmationInterval, sched_.now());
-  if (gatherUntil_ == 0) gatherUntil_ = sched_.now() + kGatherTime;
+  if (initialWaitEnd_ == 0) initialWaitEnd_ = sched_.now() + kMaxInitialWait;
   useAdditionalAddresses(outcome);
   scheduleHosts();
 }
 
-// Addresses in the additional section spare a look-up each.
+// Uses the addresses in the additional section, which makes their look-ups unnecessary.
 void DnsDiscovery::useAdditionalAddresses(const LookupOutcome &outcome) {
   struct Addresses {
     std::vector<std::string> addresses;
@@ -215,7 +217,7 @@
 void DnsDiscovery::onHostOutcome(const dns::Question &question, const LookupOutcome &outcome) {
   const auto &host = question.name;
   if (question.type == dns::Type::txt) return onTxtOutcome(host, outcome);
-  // IPv4 before IPv6: AAAA records are looked up only where there are no A records.
+  // IPv4 is preferred: AAAA records are looked up only if there are no A records.
   const dns::Question ipv6{host, dns::Type::aaaa};
   const bool isIpv4 = question.type == dns::Type::a;
   const bool isNegative = outcome.result == LookupResult::nxDomain || outcome.result == LookupResult::noData;
@@ -248,7 +250,7 @@
   if (onChange) onChange();
   const auto &statistics = merge_.statistics();
   Nanoseconds staleness = 0;
-  for (const auto &question : sets_) {
+  for (const auto &question : srvQuestions_) {
     const Nanoseconds until = schedule_.validUntil(question);
     if (until != 0) staleness = std::max(staleness, sched_.now() - until);
   }
@@ -259,12 +261,12 @@
 
 namespace {
 
-// The condition of the merged set, the most urgent first.
+// Describes the condition of the merged set. If several conditions hold, the most urgent one is returned.
 const char *conditionOf(const endpoint_merge::MergeStatistics &s) {
   if (s.endpoints == 0) return "no endpoint is known";
   if (s.isLastResort) return "DNS records are used as a last resort";
   if (s.expiredSets > 0) return "DNS records have expired";
-  if (s.retainedTargets > 0) return "a sudden loss is retained";
+  if (s.retainedTargets > 0) return "a sudden loss of DNS targets is retained";
   if (s.staleSets > 0) return "DNS records are stale";
   if (s.emptySets > 0) return "DNS names have no records";
   return "DNS records are followed";
@@ -281,7 +283,7 @@
 
 } // namespace
 
-// One line whenever the condition of the merged set changes.
+// Logs the condition of the merged set when it changes.
 void DnsDiscovery::logCondition(const endpoint_merge::MergeStatistics &statistics) {
   const bool isUnchanged = hasLoggedCondition_ && isSameCondition(loggedStatistics_, statistics);
   loggedStatistics_ = statistics;
@@ -310,9 +312,9 @@
 void DnsDiscovery::saveIfDue() {
   if (stateWriter_ == nullptr) return;
   if (const auto error = stateWriter_->takeLastError())
-    log_.warning("the DNS state can't be saved", {{"why", error->text()}});
-  // Guards the next start against half a state: one without any endpoint does not replace one that served,
-  // and one whose addresses are still being looked up waits.
+    log_.warning("the DNS state could not be saved", {{"why", error->text()}});
+  // The next start needs a complete state: a state without endpoints never replaces a saved state, and while
+  // look-ups are in flight the state is saved less often.
   const Nanoseconds interval = schedule_.inFlight() == 0 ? kSaveInterval : kSaveIntervalInFlight;
   if (!hasUnsavedState_ || merge_.statistics().endpoints == 0 || sched_.now() < savedAt_ + interval) return;
   hasUnsavedState_ = false;
@@ -322,10 +324,10 @@
 
 void DnsDiscovery::saveAtExit() {
   if (stateWriter_ == nullptr) return;
-  stateWriter_ = nullptr; // saves what was submitted first
+  stateWriter_ = nullptr; // first completes the save that was submitted last
   if (merge_.statistics().endpoints == 0) return;
   const auto error = storage::save(statePath_, encodedState());
-  if (error) log_.warning("the DNS state can't be saved", {{"why", error->text()}});
+  if (error) log_.warning("the DNS state could not be saved", {{"why", error->text()}});
 }
 
 bool DnsDiscovery::openStateFile(const std::string &path, storage::FileIdentity identity,
@@ -341,10 +343,10 @@
   if (!decoded) {
     if (loaded.status != storage::LoadStatus::missing)
       log_.warning("the saved DNS state is rejected",
-                   {{"file", path}, {"why", isLoaded ? "it can't be read" : loaded.problem}});
+                   {{"file", path}, {"why", isLoaded ? "its content cannot be decoded" : loaded.problem}});
     return false;
   }
-  hasGathered_ = true;
+  isInitialWaitOver_ = true;
   const auto &snapshot = decoded->snapshot;
   merge_.restore(snapshot, sched_.now());
   for (const auto &set : snapshot.sets) {
--- a/src/control/dns/dns_discovery.h
+++ b/src/control/dns/dns_discovery.h
@@ -1,5 +1,6 @@
-// Follows SRV names: carries out the look-ups that the refresh schedule asks for, passes their outcomes to
-// the endpoint merge, and saves the merge's state on disk. Decides nothing about endpoints.
+// Discovers endpoints through SRV names: performs the look-ups of the refresh schedule, passes their outcomes
+// to the endpoint merge, and saves the merge's state on disk. The merge decides which endpoints are in
+// service.
 #pragma once
 
 #include "base/log/log.h"
@@ -14,34 +15,37 @@
 
 namespace myrtlehead::dns_discovery {
 
-// When the first look-ups are made.
+// When the first look-ups are started.
 enum class FirstLookups {
-  immediate, // there is nothing to serve from yet
-  spread,    // at random within DnsSettings::startSpread: there is something to serve from
+  immediate, // within a short time, because no endpoint is known yet
+  spread,    // at random times within DnsSettings::startSpread, because endpoints are already known
 };
 
 class DnsDiscovery {
 public:
-  // `merge` and `settings` must outlive it; the names of `settings` are added to `merge`.
+  // `merge` and `settings` must outlive this object. The SRV names of `settings` are added to `merge`.
   DnsDiscovery(net::Scheduler &sched, net::DescriptorBudget &budget, endpoint_merge::EndpointMerge &merge,
                const DnsSettings &settings, std::uint64_t seed, log::Log log, DnsMetrics &metrics);
 
-  // Called whenever the merged set may have changed; must have it merged anew.
+  // Called whenever the merged set may have changed. The callback must call EndpointMerge::mergedEndpoints().
   std::function<void()> onChange;
-  // Runs for as long as the program does.
+  // Performs look-ups. Does not return.
   net::Task<> run(FirstLookups first);
-  // Queries these DNS servers from now on; an empty list leaves those in use.
+  // Replaces the DNS servers for later look-ups. An empty list has no effect.
   void setServers(std::vector<net::Address> servers);
 
-  // Saves the state in this file from now on, and restores what it holds. `unixAtZero`: Unix time, in ns, at
-  // which the clock read 0. False: nothing was restored; the reason is logged.
+  // Restores the state from the file, if it exists, and saves the state there from now on. `unixAtZero`: Unix
+  // time, in nanoseconds, at which the scheduler's clock read 0. Returns false if no state was restored; a
+  // file that cannot be used is logged.
   bool openStateFile(const std::string &path, storage::FileIdentity identity, sched::Nanoseconds unixAtZero);
+  // Saves the state before the program exits, if a state file is open and an endpoint is known.
   void saveAtExit();
 
-  // Whether each name and address has been looked up at least once, successfully or not.
+  // Returns whether each name and address has been looked up at least once, successfully or not.
   bool hasCompletedFirstLookups() const;
   const dns_resolution::RefreshSchedule &schedule() const { return schedule_; }
-  // Why the latest look-up of an SRV name gave no targets, in words; "": it gave some, or none has finished.
+  // Returns why the latest look-up of an SRV name gave no targets; "" if it gave targets or no look-up has
+  // finished. `set`: index of the name in DnsSettings::srvNames.
   const std::string &lastFailure(std::size_t set) const { return lastFailures_[set]; }
 
 private:
@@ -60,7 +64,7 @@
   void onTxtOutcome(const std::string &host, const dns_resolution::LookupOutcome &outcome);
   void useAdditionalAddresses(const dns_resolution::LookupOutcome &outcome);
   void scheduleHosts();
-  bool isGathering();
+  bool isInitialWait();
   void publish();
   void logCondition(const endpoint_merge::MergeStatistics &statistics);
   void saveIfDue();
@@ -74,16 +78,17 @@
   DnsMetrics &metrics_;
   std::knuth_b random_;
   dns_resolution::RefreshSchedule schedule_;
-  std::shared_ptr<Servers> servers_; // a look-up in flight keeps those that it began with
+  // Shared with look-ups in flight, which keep the servers that they started with.
+  std::shared_ptr<Servers> servers_;
   std::shared_ptr<dns_resolution::DnsServers> serverStates_;
-  std::vector<dns::Question> sets_;       // by the merge's index
-  std::vector<std::string> lastFailures_; // by set
-  std::vector<bool> hasOutcome_;          // by set
-  std::map<std::string, bool> hosts_;     // scheduled; whether with their TXT records
+  std::vector<dns::Question> srvQuestions_; // by index of the record set in merge_
+  std::vector<std::string> lastFailures_;   // by record set
+  std::vector<bool> hasOutcome_;            // by record set
+  std::map<std::string, bool> hosts_;       // scheduled hosts; true: their TXT records are looked up too
   sched::Event lookupFinished_;
   bool needsPublishing_ = false;
-  bool hasGathered_ = false;
-  sched::Nanoseconds gatherUntil_ = 0; // set by the first outcome; 0: none yet
+  bool isInitialWaitOver_ = false;
+  sched::Nanoseconds initialWaitEnd_ = 0; // set by the first outcome; 0: no outcome yet
   sched::Nanoseconds publishedAt_ = 0;
   endpoint_merge::MergeStatistics loggedStatistics_;
   bool hasLoggedCondition_ = false;
@@ -93,7 +98,7 @@
   storage::FileIdentity stateIdentity_;
   sched::Nanoseconds unixAtZero_ = 0;
   sched::Nanoseconds savedAt_ = 0;
-  bool hasUnsavedState_ = false; // there was a successful outcome since the state was last saved
+  bool hasUnsavedState_ = false; // whether a look-up has succeeded since the state was last saved
 };
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/metrics.cpp
+++ b/src/control/dns/metrics.cpp
@@ -13,30 +13,39 @@
   explicit Families(prometheus::Registry &r)
       : queries(BuildCounter()
                     .Name("myrtlehead_names_queries_total")
-                    .Help("Queries sent to servers of names")
+                    .Help("DNS queries sent, by transport")
                     .Register(r)),
         queryErrors(BuildCounter()
                         .Name("myrtlehead_names_mishaps_total")
-                        .Help("Queries without a usable answer")
+                        .Help("DNS queries without a usable response, by kind of error")
                         .Register(r)),
         lookups(BuildCounter()
                     .Name("myrtlehead_names_lookups_total")
-                    .Help("Look-ups by what they came to")
+                    .Help("Finished DNS look-ups, by result")
                     .Register(r)),
-        servers(BuildGauge().Name("myrtlehead_names_servers").Help("Servers by who names them").Register(r)),
-        disagreements(BuildGauge()
-                          .Name("myrtlehead_names_disagreements")
-                          .Help("Servers on which list and names disagree")
-                          .Register(r)),
-        conditions(BuildGauge()
-                       .Name("myrtlehead_names_condition")
-                       .Help("Of the set: 1 while it lasts, or a count")
-                       .Register(r)),
-        staleness(BuildGauge()
-                      .Name("myrtlehead_names_stale_seconds")
-                      .Help("Time since the end of the oldest lifetime that is served on")
-                      .Register(r)
-                      .Add({})) {}
+        servers(BuildGauge()
+                    .Name("myrtlehead_names_servers")
+                    .Help("Endpoints in the merged set, the endpoint list and DNS records; unresolved SRV "
+                          "targets; endpoints of unknown build")
+                    .Register(r)),
+        disagreements(
+            BuildGauge()
+                .Name("myrtlehead_names_disagreements")
+                .Help(
+                    "Endpoints on which the endpoint list and DNS records disagree, by kind of disagreement")
+                .Register(r)),
+        conditions(
+            BuildGauge()
+                .Name("myrtlehead_names_condition")
+                .Help(
+                    "Conditions of the merged endpoint set, by kind: a count, or 1 while the condition holds")
+                .Register(r)),
+        staleness(
+            BuildGauge()
+                .Name("myrtlehead_names_stale_seconds")
+                .Help("Seconds since the TTL of the oldest DNS answer in use ended; 0 if no answer is stale")
+                .Register(r)
+                .Add({})) {}
   prometheus::Family<prometheus::Counter> &queries, &queryErrors, &lookups;
   prometheus::Family<prometheus::Gauge> &servers, &disagreements, &conditions;
   prometheus::Gauge &staleness;
@@ -63,25 +72,25 @@
 void DnsMetrics::setStaleness(double seconds) { families_->staleness.Set(seconds); }
 
 void DnsMetrics::setMergeStatistics(const endpoint_merge::MergeStatistics &s) {
-  const auto put = [](auto &family, const char *label, const char *value, auto figure) {
-    family.Add({{label, value}}).Set(static_cast<double>(figure));
+  const auto setGauge = [](auto &family, const char *label, const char *labelValue, auto value) {
+    family.Add({{label, labelValue}}).Set(static_cast<double>(value));
   };
-  put(families_->servers, "by", "set", s.endpoints);
-  put(families_->servers, "by", "list", s.listed);
-  put(families_->servers, "by", "names", s.inDns);
-  put(families_->servers, "by", "unresolved", s.unresolvedTargets);
-  put(families_->servers, "by", "unknown_build", s.unknownBuilds);
-  put(families_->disagreements, "kind", "drained_but_named", s.drainingButInDns);
-  put(families_->disagreements, "kind", "listed_not_named", s.listedNotInDns);
-  put(families_->disagreements, "kind", "two_names", s.addressesWithTwoNames);
-  put(families_->disagreements, "kind", "builds_differ", s.buildMismatches);
-  put(families_->conditions, "kind", "damped", s.suppressedTargets);
-  put(families_->conditions, "kind", "held", s.retainedTargets);
-  put(families_->conditions, "kind", "stale_sets", s.staleSets);
-  put(families_->conditions, "kind", "expired_sets", s.expiredSets);
-  put(families_->conditions, "kind", "denied_sets", s.emptySets);
-  put(families_->conditions, "kind", "last_resort", s.isLastResort);
-  put(families_->conditions, "kind", "list_down", s.isListDown);
+  setGauge(families_->servers, "by", "set", s.endpoints);
+  setGauge(families_->servers, "by", "list", s.listed);
+  setGauge(families_->servers, "by", "names", s.inDns);
+  setGauge(families_->servers, "by", "unresolved", s.unresolvedTargets);
+  setGauge(families_->servers, "by", "unknown_build", s.unknownBuilds);
+  setGauge(families_->disagreements, "kind", "drained_but_named", s.drainingButInDns);
+  setGauge(families_->disagreements, "kind", "listed_not_named", s.listedNotInDns);
+  setGauge(families_->disagreements, "kind", "two_names", s.addressesWithTwoNames);
+  setGauge(families_->disagreements, "kind", "builds_differ", s.buildMismatches);
+  setGauge(families_->conditions, "kind", "damped", s.suppressedTargets);
+  setGauge(families_->conditions, "kind", "held", s.retainedTargets);
+  setGauge(families_->conditions, "kind", "stale_sets", s.staleSets);
+  setGauge(families_->conditions, "kind", "expired_sets", s.expiredSets);
+  setGauge(families_->conditions, "kind", "denied_sets", s.emptySets);
+  setGauge(families_->conditions, "kind", "last_resort", s.isLastResort);
+  setGauge(families_->conditions, "kind", "list_down", s.isListDown);
 }
 
 } // namespace myrtlehead::dns_discovery
--- a/src/control/dns/metrics.h
+++ b/src/control/dns/metrics.h
@@ -1,4 +1,4 @@
-// Metrics of DNS look-ups and of the merged set of endpoints (prometheus-cpp).
+// Prometheus metrics of DNS look-ups and of the merged set of endpoints.
 #pragma once
 
 #include "policy/dns_lookup.h"
@@ -21,7 +21,8 @@
   void onQueryError(dns_resolution::QueryError error);
   void onLookupFinished(dns_resolution::LookupResult result);
   void setMergeStatistics(const endpoint_merge::MergeStatistics &statistics);
-  void setStaleness(double seconds); // of the oldest answer served past its TTL; 0: there is none
+  // Sets the time since the TTL of the oldest answer in use ended; 0: no answer is stale.
+  void setStaleness(double seconds);
 
 private:
   struct Families;
--- a/src/control/dns/query_client.cpp
+++ b/src/control/dns/query_client.cpp
@@ -10,14 +10,15 @@
 
 using sched::Nanoseconds;
 
-constexpr Nanoseconds kIdleTimeout = 5'000'000'000; // of a connection without a query
+constexpr Nanoseconds kIdleTimeout = 5'000'000'000; // 5 s without a query in flight closes a connection
 
 std::uint16_t u16At(std::string_view bytes, std::size_t at) {
   return static_cast<std::uint16_t>(static_cast<unsigned char>(bytes[at]) << 8 |
                                     static_cast<unsigned char>(bytes[at + 1]));
 }
 
-// Takes over what a message was read as. Precondition: it is a response to the query.
+// Sets the result from the outcome of decoding a message. Precondition: the message is a response to the
+// query.
 void setResponse(QueryResult &result, dns::Reading reading) {
   result.hasResponse = reading != dns::Reading::unreadable;
   result.letterCase = reading == dns::Reading::folded ? LetterCase::changed : LetterCase::preserved;
@@ -75,20 +76,21 @@
   pending.result.error = QueryError::unreachable;
   const auto connection = co_await connect(deadline);
   if (connection == nullptr) co_return pending.result;
-  while (connection->pending.contains(sent.id)) ++sent.id; // at most as often as there are look-ups in flight
+  while (connection->pending.contains(sent.id)) ++sent.id; // bounded by the number of look-ups in flight
   pending.sent = sent;
   auto message = dns::writeQuery(sent);
   const auto size = message.size();
   message.insert(message.begin(), {static_cast<char>(size >> 8), static_cast<char>(size & 0xff)});
   connection->pending[sent.id] = &pending;
-  // Written at once or not at all: half a query would spoil those behind it.
+  // The connection is closed unless the whole query can be written at once, because a partly written query
+  // would corrupt those after it.
   if (!connection->socket->tryWrite(message)) close(*connection, QueryError::connectionLost);
   if (!pending.isDone) {
     const auto wakeReason = co_await sched_.wait(pending.done, deadline);
     if (wakeReason != sched::WakeReason::notified) {
       connection->pending.erase(sent.id);
       pending.result.error = QueryError::timedOut;
-      // Guards against a connection that hangs: the next query opens a new one.
+      // The connection may hang, so the next query opens a new one.
       if (connection_ == connection) connection_ = nullptr;
       if (connection->pending.empty()) connection->closed.cancel();
     }
@@ -107,7 +109,8 @@
   connection.pending.clear();
 }
 
-// Reads one message from the front of the buffer. False: the buffer holds no complete one.
+// Handles and removes the first message in the buffer. Returns false if the buffer contains no complete
+// message.
 bool TcpQueryClient::readMessage(Connection &connection) {
   const auto view = connection.buffer.view();
   if (view.size() < 2) return false;
@@ -130,7 +133,7 @@
   return true;
 }
 
-// Shares the client's ownership: the client may be given up before its connection has ended.
+// Holds a reference to the client, because the client's owner may release it before the connection ends.
 net::Task<> TcpQueryClient::read(std::shared_ptr<TcpQueryClient> client,
                                  std::shared_ptr<Connection> connection) {
   for (;;) {
--- a/src/control/dns/query_client.h
+++ b/src/control/dns/query_client.h
@@ -1,5 +1,6 @@
-// Sends one query to a DNS server and reads the response: over UDP on a socket of its own, or over a TCP
-// connection that several queries share (RFC 7766). Decides nothing.
+// Sends one query to a DNS server and reads the response: over UDP on a separate socket, or over a TCP
+// connection that several queries share (RFC 7766). Retries and timeouts are decided by
+// dns_resolution::Lookup.
 #pragma once
 
 #include "base/net/socket.h"
@@ -9,25 +10,25 @@
 
 namespace myrtlehead::dns_discovery {
 
-// What came of a query: a response, or an error.
+// The result of a query: a response, or an error.
 struct QueryResult {
   bool hasResponse = false;
-  dns::Message message;                                                          // where it has
-  dns_resolution::LetterCase letterCase = dns_resolution::LetterCase::preserved; // where it has
-  dns_resolution::QueryError error = dns_resolution::QueryError::timedOut;       // otherwise
+  dns::Message message;                                                          // valid if hasResponse
+  dns_resolution::LetterCase letterCase = dns_resolution::LetterCase::preserved; // valid if hasResponse
+  dns_resolution::QueryError error = dns_resolution::QueryError::timedOut;       // valid if not hasResponse
 };
 
 net::Task<QueryResult> queryOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
                                     const dns::Sent &sent, net::Deadline deadline);
 
-// Queries to one server over a TCP connection, which is opened when it is first needed and closed when it has
-// been idle for a while or the server breaks the protocol. Queries are pipelined and matched by their ids.
+// Sends queries to one server over a TCP connection. The connection is opened by the first query, and closed
+// after an idle timeout or an error. Queries are pipelined, and responses are matched to them by query id.
 class TcpQueryClient : public std::enable_shared_from_this<TcpQueryClient> {
 public:
   TcpQueryClient(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server)
       : sched_(sched), budget_(budget), server_(server) {}
   net::Task<QueryResult> query(dns::Sent sent, net::Deadline deadline);
-  int connectionsOpened() const { return connectionsOpened_; } // ever
+  int connectionsOpened() const { return connectionsOpened_; } // since construction
 
 private:
   struct PendingQuery {
@@ -36,7 +37,7 @@
     bool isDone = false;
     sched::Event done;
   };
-  // Lives for as long as it is read, which may be longer than the client uses it.
+  // Shared by the client and the task that reads from it, which may outlive the client's use.
   struct Connection {
     std::unique_ptr<net::Socket> socket;
     net::Buffer buffer;
--- a/src/control/dns/snapshot.cpp
+++ b/src/control/dns/snapshot.cpp
@@ -11,18 +11,18 @@
 
 constexpr Nanoseconds kMaxTime = 36'600 * (86'400 * kSecond); // Unix time
 
-// Converts times between the instance's clock and Unix milliseconds. 0 is "long ago" or "never" on both
-// sides.
+// Converts times between the instance's clock and Unix milliseconds. 0 means "long ago" or "never" in both.
 struct ClockConverter {
   Nanoseconds unixAtZero;
   std::int64_t toUnix(Nanoseconds time) const { return time == 0 ? 0 : (time + unixAtZero) / kMillisecond; }
-  // Throws std::out_of_range.
+  // Throws std::out_of_range if the time is negative or after kMaxTime.
   Nanoseconds fromUnix(const json &value) const {
     const auto milliseconds = value.get<std::int64_t>();
-    if (milliseconds < 0 || milliseconds > kMaxTime / kMillisecond) throw std::out_of_range("time");
+    if (milliseconds < 0 || milliseconds > kMaxTime / kMillisecond)
+      throw std::out_of_range("Unix time in the DNS state is out of range");
     return milliseconds == 0 ? 0 : milliseconds * kMillisecond - unixAtZero;
   }
-  // The start of an endpoint: one before this clock's zero counts as long ago.
+  // Converts the start time of an endpoint. A time before the zero of the instance's clock becomes 0.
   Nanoseconds startFromUnix(const json &value) const { return std::max<Nanoseconds>(fromUnix(value), 0); }
 };
 
@@ -78,7 +78,7 @@
   return out;
 }
 
-// Whether the sizes are such as this program writes.
+// Returns whether the numbers of items are within the limits that encoded snapshots obey.
 bool hasBoundedSize(const Snapshot &snapshot) {
   using endpoint_merge::kMaxEndpoints;
   std::size_t targets = 0;
@@ -128,7 +128,7 @@
     out.snapshot = decode(in, clock);
     if (!hasBoundedSize(out.snapshot)) return std::nullopt;
     return out;
-  } catch (const std::exception &) { // nlohmann's own, and std::out_of_range
+  } catch (const std::exception &) { // nlohmann::json::exception or std::out_of_range
     return std::nullopt;
   }
 }
--- a/src/policy/address_memory.cpp
+++ b/src/policy/address_memory.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Guards against addresses that are ever new: of more than `maxSize` entries those with the latest times
-// stay.
+// Keeps the `maxSize` entries with the latest times, and any others with the same time as the oldest of them.
+// This bounds the memory if every update brings new addresses.
 template <class Map, class TimeOf> void keepLatest(Map &map, std::size_t maxSize, TimeOf timeOf) {
   if (map.size() <= maxSize) return;
   std::vector<Nanoseconds> times;
@@ -20,28 +20,29 @@
 
 } // namespace
 
-void DepartedAddresses::onMention(const std::string &address, Nanoseconds now) {
-  const auto departed = lastMentions_.find(address);
-  if (departed != lastMentions_.end()) departed->second = now;
+void DepartedAddresses::onSeenInDns(const std::string &address, Nanoseconds now) {
+  const auto departed = lastSeenAt_.find(address);
+  if (departed != lastSeenAt_.end()) departed->second = now;
 }
 
 void DepartedAddresses::forgetOlderThan(Nanoseconds memoryTime, Nanoseconds now) {
-  std::erase_if(lastMentions_, [&](const auto &item) { return now - item.second > memoryTime; });
+  std::erase_if(lastSeenAt_, [&](const auto &item) { return now - item.second > memoryTime; });
 }
 
 void DepartedAddresses::limitSize() {
-  keepLatest(lastMentions_, kMaxEndpoints, [](Nanoseconds time) { return time; });
+  keepLatest(lastSeenAt_, kMaxEndpoints, [](Nanoseconds time) { return time; });
 }
 
-Nanoseconds FirstSightings::onSight(const std::string &address, bool cameLater, Nanoseconds now) {
-  auto &sighting = sightings_.try_emplace(address, Sighting{cameLater ? now : 0, now}).first->second;
-  sighting.lastSeenAt = now;
-  return sighting.startedAt;
+Nanoseconds EndpointStartTimes::onAddressSeen(const std::string &address, bool appearedLater,
+                                              Nanoseconds now) {
+  auto &startTime = startTimes_.try_emplace(address, StartTime{appearedLater ? now : 0, now}).first->second;
+  startTime.lastSeenAt = now;
+  return startTime.startedAt;
 }
 
-void FirstSightings::forgetOlderThan(Nanoseconds memoryTime, Nanoseconds now) {
-  std::erase_if(sightings_, [&](const auto &item) { return now - item.second.lastSeenAt > memoryTime; });
-  keepLatest(sightings_, kMaxEndpoints, [](const Sighting &sighting) { return sighting.lastSeenAt; });
+void EndpointStartTimes::forgetOlderThan(Nanoseconds memoryTime, Nanoseconds now) {
+  std::erase_if(startTimes_, [&](const auto &item) { return now - item.second.lastSeenAt > memoryTime; });
+  keepLatest(startTimes_, kMaxEndpoints, [](const StartTime &startTime) { return startTime.lastSeenAt; });
 }
 
 } // namespace myrtlehead::endpoint_merge
--- a/src/policy/discovery_subscription.cpp
+++ b/src/policy/discovery_subscription.cpp
@@ -6,57 +6,59 @@
 
 namespace {
 
-// By discovery's protocol a watch sends at least a keep-alive this often.
+// Discovery's protocol guarantees a watch event or a keep-alive at least this often.
 constexpr Nanoseconds kKeepAliveInterval = 2 * kSecond;
-// Allows for delays of the network and of a busy instance.
+// Tolerated delay of a keep-alive, caused by the network or a busy instance.
 constexpr Nanoseconds kMaxKeepAliveDelay = 400 * kMillisecond;
 
-// By the operators' rules, an instance counts as notified of a change this long after it at the latest, and
-// this long after a move of discovery.
+// The operators' rules count an instance as notified of a change at the latest this long after the change,
+// and this long after discovery's address has changed.
 constexpr Nanoseconds kCountsAsNotifiedAfter = 6 * kSecond;
 constexpr Nanoseconds kCountsAsNotifiedAfterMove = 4 * kSecond;
 
-// Windows over which the fleet's polls are spread. They end early enough for discovery to answer within the
-// two seconds that it may take, before the instance counts as notified.
+// Windows over which the fleet's polls are spread. They end early enough that discovery, which may take two
+// seconds to answer, answers before the instance counts as notified.
 constexpr Nanoseconds kPollWindowAfterSilence = 1400 * kMillisecond;
 constexpr Nanoseconds kPollWindowAfterMove = 1500 * kMillisecond;
 
-// How long a list without updates is relied on. The margin covers the way to an endpoint.
+// How long a list without updates is relied on. The margin covers the time until a request reaches its
+// endpoint.
 constexpr Nanoseconds kNotificationMargin = 500 * kMillisecond;
 constexpr Nanoseconds kListReliableFor = kCountsAsNotifiedAfter - kNotificationMargin;
 constexpr Nanoseconds kListReliableAfterMove = kCountsAsNotifiedAfterMove - kNotificationMargin;
-// For how long an answer proves that an endpoint was not departing. Shorter than kCountsAsNotifiedAfter by
-// the two seconds for which a draining endpoint may go on serving.
+// How long an answer from an endpoint proves that the endpoint is not being removed. This is two seconds less
+// than kCountsAsNotifiedAfter, because a draining endpoint may serve requests for that long.
 constexpr Nanoseconds kProofLifetime = 4 * kSecond;
-// Since 0 means that the list is up to date.
+// 0 is not used as a proof time, because it means that the list is up to date.
 constexpr Nanoseconds kMinProofTime = 1;
 
 constexpr Nanoseconds kUnansweredCallTimeout = 3 * kSecond;
 
-// The first backoff grows with the fleet, so that all its polls together do not overload discovery.
+// The first backoff grows with the size of the fleet, so that the fleet's polls do not overload
+// discovery.
 constexpr Nanoseconds kMinFirstBackoff = 400 * kMillisecond;
 constexpr Nanoseconds kFirstBackoffPerInstance = 20 * kMillisecond;
 constexpr Nanoseconds kMaxBackoff = 6 * kSecond;
-constexpr int kMaxBackoffDoublings = 10; // keeps the shift defined; kMaxBackoff is met before
+constexpr int kMaxBackoffDoublings = 10; // avoids an undefined shift; kMaxBackoff is reached earlier
 constexpr Nanoseconds kLocalAgentBackoff = 150 * kMillisecond;
 constexpr double kMinBackoffJitter = 0.2; // fraction of the backoff
 constexpr double kBackoffJitterRange = 1.6;
 
 } // namespace
 
-// This instance's place within the window, the places of the fleet being evenly spaced.
-Nanoseconds DiscoverySubscription::ownShareOf(Nanoseconds window, double jitter) const {
+// Returns this instance's offset within the window. The offsets of all instances are evenly spaced.
+Nanoseconds DiscoverySubscription::offsetInWindow(Nanoseconds window, double jitter) const {
   return static_cast<Nanoseconds>(static_cast<double>(window) * (ownIndex_ + jitter) /
                                   std::max(instanceCount_, 1));
 }
 
-bool DiscoverySubscription::isReceiving(Nanoseconds now) const {
+bool DiscoverySubscription::hasRecentMessage(Nanoseconds now) const {
   return lastMessageAt_ > 0 && now - lastMessageAt_ < kKeepAliveInterval + kMaxKeepAliveDelay;
 }
 
 void DiscoverySubscription::onCallSent(Nanoseconds now) {
   nextCallAt_ = now + kUnansweredCallTimeout;
-  if (!hasSentCall()) listCurrentAt_ = now; // the list known at the start is relied on from here
+  if (!hasSentCall()) listUpToDateAt_ = now; // the initial list is relied on from this time
 }
 
 void DiscoverySubscription::onAnswered() {
@@ -68,15 +70,15 @@
   if (source == MessageSource::previousAddress) return;
   onAnswered();
   lastMessageAt_ = now;
-  listCurrentAt_ = now;
-  movedAt_ = 0;
+  listUpToDateAt_ = now;
+  addressChangedAt_ = 0;
   hasFailedSinceStart_ = false;
   const Nanoseconds window = isSharedByFleet_ ? kPollWindowAfterSilence : 0;
-  nextCallAt_ = now + kKeepAliveInterval + kMaxKeepAliveDelay + ownShareOf(window, jitter);
+  nextCallAt_ = now + kKeepAliveInterval + kMaxKeepAliveDelay + offsetInWindow(window, jitter);
 }
 
-// The first call after a watch was closed comes within the poll interval of the settings. A local agent
-// serves this instance alone, so its backoff does not grow.
+// The first call after a watch was closed is sent within the configured poll interval. A local agent serves
+// only this instance, so its backoff does not grow.
 Nanoseconds DiscoverySubscription::backoffAfter(CallEnd end) const {
   Nanoseconds first = isSharedByFleet_ ? std::max(kMinFirstBackoff, kFirstBackoffPerInstance * instanceCount_)
                                        : kLocalAgentBackoff;
@@ -87,17 +89,17 @@
   return std::min(first << doublings, std::max(first, kMaxBackoff));
 }
 
-// Guards against a fleet whose own polls keep discovery from answering any: the backoff grows with each
-// failure and is jittered.
+// The backoff grows with each failure and is jittered. Otherwise the fleet's own polls could keep discovery
+// too busy to answer any of them.
 void DiscoverySubscription::onClosed(CallEnd end, OtherCalls others, Nanoseconds now, double jitter) {
-  const bool isWatchedElsewhere = others == OtherCalls::watching && isReceiving(now);
+  const bool isWatchedElsewhere = others == OtherCalls::watching && hasRecentMessage(now);
   if (isWatchedElsewhere) return;
-  // A watch that received messages up to its end has missed nothing, and while discovery is down nobody is
-  // notified of anything.
-  const bool hasMissedNothing = end == CallEnd::watchClosed && isReceiving(now);
-  if (hasMissedNothing || end == CallEnd::connectionRefused) listCurrentAt_ = now;
+  // A watch that received messages up to its end has missed no change, and while discovery is down it
+  // notifies no instance of changes.
+  const bool hasMissedNothing = end == CallEnd::watchClosed && hasRecentMessage(now);
+  if (hasMissedNothing || end == CallEnd::connectionRefused) listUpToDateAt_ = now;
   if (lastMessageAt_ == 0) hasFailedSinceStart_ = true;
-  // The unanswered call will end in its turn, or be repeated when its time is up.
+  // The unanswered call either ends, with a notification of its own, or is repeated after its timeout.
   if (others == OtherCalls::unanswered) return;
   const auto backoff = static_cast<double>(backoffAfter(end));
   ++consecutiveFailures_;
@@ -106,18 +108,18 @@
 
 void DiscoverySubscription::onAddressChanged(Nanoseconds now, double jitter) {
   consecutiveFailures_ = 0;
-  movedAt_ = now;
-  nextCallAt_ = now + ownShareOf(isSharedByFleet_ ? kPollWindowAfterMove : 0, jitter);
+  addressChangedAt_ = now;
+  nextCallAt_ = now + offsetInWindow(isSharedByFleet_ ? kPollWindowAfterMove : 0, jitter);
 }
 
 Nanoseconds DiscoverySubscription::proofRequiredSince(Nanoseconds now, EndpointSources sources) const {
   if (sources == EndpointSources::discoveryAndDns && lastMessageAt_ == 0) return 0;
-  if (movedAt_ != 0 && now >= movedAt_ + kListReliableAfterMove)
+  if (addressChangedAt_ != 0 && now >= addressChangedAt_ + kListReliableAfterMove)
     return std::max(now - kListReliableAfterMove, kMinProofTime);
-  // The list known at the start is of unknown age: an endpoint on it may have left and come back, and serve,
-  // while this instance counts as notified of its departure but not of its return.
+  // The age of the initial list is unknown: one of its endpoints may have been removed and added again, and
+  // answer requests, while this instance counts as notified of the removal but not of the addition.
   if (hasFailedSinceStart_) return kNoProofAccepted;
-  if (!hasSentCall() || now < listCurrentAt_ + kListReliableFor) return 0;
+  if (!hasSentCall() || now < listUpToDateAt_ + kListReliableFor) return 0;
   return std::max(now - kProofLifetime, kMinProofTime);
 }
 
--- a/src/policy/dns_lookup.h
+++ b/src/policy/dns_lookup.h
@@ -1,6 +1,6 @@
-// One DNS look-up, from its first query to its result: which server is queried, over UDP or TCP, when an
-// attempt times out, which aliases are followed. No I/O: the caller sends the queries and reports what came
-// of them. Times are nanoseconds.
+// The state machine of one DNS look-up: selects the server, the transport (UDP or TCP) and the timeout of
+// each query, and follows aliases. It does no I/O: the caller sends the queries and reports each response or
+// error. Times are in nanoseconds.
 #pragma once
 
 #include "format/dns/message.h"
@@ -12,16 +12,17 @@
 
 namespace myrtlehead::dns_resolution {
 
-constexpr int kMaxAliases = 8;
-constexpr int kMaxTcpTruncations = 2; // of one look-up; over TCP there should be none
+constexpr int kMaxAliases = 8;        // CNAME records followed in one look-up
+constexpr int kMaxTcpTruncations = 2; // truncated TCP responses in one look-up; a correct server sends none
 
-// The DNS servers of an instance, and the backoff of those that fail.
+// Selects among the DNS servers of an instance and backs off from servers that fail.
 class DnsServers {
 public:
   explicit DnsServers(std::size_t count) : servers_(count) {}
   std::size_t count() const { return servers_.size(); }
-  // A random server among those with the fewest attempts in a look-up that are not backing off; if all of
-  // them are, the one whose backoff ends first. `attempts`: by server.
+  // Returns the index of the server to query. The candidates are the servers with the fewest attempts in this
+  // look-up: one that is not backing off is selected at random; if all of them are backing off, the one whose
+  // backoff ends first is selected. `attempts`: attempts of this look-up, by server.
   std::size_t select(const std::vector<int> &attempts, Nanoseconds now, std::knuth_b &random) const;
   void onSuccess(std::size_t server) { servers_[server] = {}; }
   void onFailure(std::size_t server, Nanoseconds now);
@@ -29,7 +30,7 @@
 
 private:
   struct Server {
-    int failures = 0; // in a row
+    int consecutiveFailures = 0;
     Nanoseconds backoffUntil = 0;
   };
   std::vector<Server> servers_;
@@ -37,7 +38,7 @@
 
 enum class Transport { udp, tcp };
 
-// The next query of a look-up.
+// One query of a look-up, as the caller is to send it.
 struct Query {
   std::size_t server = 0;
   Transport transport = Transport::udp;
@@ -58,26 +59,28 @@
 
 struct LookupOutcome {
   LookupResult result = LookupResult::failed;
-  std::vector<dns::Record> records = {};    // of the type in question, at the end of the aliases
-  std::vector<dns::Record> additional = {}; // addresses of SRV targets that may be trusted
-  Nanoseconds ttl = 0;                      // as the server gives it, unbounded; or kNoTtl
-  std::string failure = {};                 // the last error in words, where the look-up failed
+  std::vector<dns::Record> records = {};    // records of the requested type, at the end of the alias chain
+  std::vector<dns::Record> additional = {}; // trusted address records of SRV targets
+  Nanoseconds ttl = 0;                      // shortest TTL that the server gave, not clamped; or kNoTtl
+  std::string failure = {};                 // description of the last error
 };
 
+// One look-up in progress. The caller alternates nextQuery() with onResponse() or onError() until the look-up
+// is finished.
 class Lookup {
 public:
   // `settings` and `servers` must outlive the look-up.
   Lookup(dns::Question question, const ResolutionSettings &settings, DnsServers &servers)
-      : question_(question), current_(std::move(question)), settings_(settings), servers_(servers),
+      : question_(question), currentQuestion_(std::move(question)), settings_(settings), servers_(servers),
         attemptsByServer_(servers.count()) {}
 
   bool isFinished() const { return isFinished_; }
-  // The query to send. Precondition: the look-up is not finished.
+  // Returns the query to send. Precondition: the look-up is not finished.
   Query nextQuery(Nanoseconds now, std::knuth_b &random);
-  // What came of the latest query: a response, or an error.
+  // Reports the result of the latest query: a response, or an error.
   void onResponse(const dns::Message &message, LetterCase letterCase, Nanoseconds now);
   void onError(QueryError error, Nanoseconds now);
-  const LookupOutcome &outcome() const { return outcome_; } // valid once it is finished
+  const LookupOutcome &outcome() const { return outcome_; } // valid once isFinished()
   const dns::Question &question() const { return question_; }
 
 private:
@@ -85,20 +88,20 @@
   void acceptAnswer(const dns::Message &message);
   bool followAliases(const dns::Message &message);
   void finish(LookupResult result, Nanoseconds ttl);
-  void keepAdditional(const dns::Message &message);
+  void acceptAdditional(const dns::Message &message);
 
   dns::Question question_;
-  dns::Question current_; // at the end of the aliases so far
+  dns::Question currentQuestion_; // question_, with the last alias followed as the name
   const ResolutionSettings &settings_;
   DnsServers &servers_;
   std::vector<int> attemptsByServer_;
   Query query_;
   int attempts_ = 0;
-  int aliases_ = 0;
+  int aliasesFollowed_ = 0;
   int tcpTruncations_ = 0;
-  bool retriesOverTcp_ = false; // the next query goes to the same server over TCP
+  bool retriesOverTcp_ = false; // whether the next query goes to the same server over TCP
   bool isFinished_ = false;
-  Nanoseconds aliasTtl_ = kNoTtl; // the shortest of the aliases followed
+  Nanoseconds aliasTtl_ = kNoTtl; // shortest TTL of the aliases followed
   LookupOutcome outcome_;
 };
 
--- a/src/policy/dns_refresh_schedule.cpp
+++ b/src/policy/dns_refresh_schedule.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double kRefreshJitter = 0.25; // of the delay, to both sides
-constexpr double kBackoffGrowth = 3.0;  // at most, from one failure to the next
+constexpr double kRefreshJitter = 0.25; // fraction of the delay, added or subtracted
+constexpr double kBackoffGrowth = 3.0;  // largest ratio of two successive backoffs
 
 } // namespace
 
-Nanoseconds RefreshSchedule::bounded(Nanoseconds ttl) const {
+Nanoseconds RefreshSchedule::clampTtl(Nanoseconds ttl) const {
   return std::clamp(ttl, settings_.minTtl, settings_.maxTtl);
 }
 
@@ -55,8 +55,8 @@
   return inFlight_ >= maxInFlight_ || due_.empty() ? kNeverDue : due_.begin()->first;
 }
 
-// Guards the DNS servers against instances that fail together and retry together: backoff with decorrelated
-// jitter.
+// Backoff with decorrelated jitter, so that instances whose look-ups fail at the same time do not retry at
+// the same time.
 Nanoseconds RefreshSchedule::nextBackoff(Nanoseconds previous) {
   const double least = static_cast<double>(settings_.minBackoff);
   const double most = std::min(kBackoffGrowth * std::max(static_cast<double>(previous), least),
@@ -76,7 +76,7 @@
     schedule(at, now + item.backoff);
     return true;
   }
-  const Nanoseconds ttl = bounded(outcome.ttl >= 0 ? outcome.ttl : settings_.defaultNegativeTtl);
+  const Nanoseconds ttl = clampTtl(outcome.ttl >= 0 ? outcome.ttl : settings_.defaultNegativeTtl);
   item.backoff = 0;
   item.answeredAt = now;
   item.validUntil = now + ttl;
@@ -88,12 +88,12 @@
 void RefreshSchedule::onAdditionalRecords(const dns::Question &question, Nanoseconds ttl, Nanoseconds now) {
   const auto at = items_.try_emplace(question).first;
   auto &item = at->second;
-  if (item.isInFlight) return; // its own answer is about to come
+  if (item.isInFlight) return; // the look-up in flight will give an answer of its own
   item.backoff = 0;
   item.answeredAt = now;
-  item.validUntil = now + bounded(ttl);
-  // The question that these records came with is refreshed before the shorter TTL ends and brings them again;
-  // this one is looked up for itself only if that fails.
+  item.validUntil = now + clampTtl(ttl);
+  // The answer that contained these records is refreshed before the shorter of the two TTLs ends and then
+  // contains them again. This question is looked up separately only if that refresh fails.
   schedule(at, item.validUntil);
 }
 
--- a/src/policy/dns_settings.h
+++ b/src/policy/dns_settings.h
@@ -1,4 +1,4 @@
-// Settings of DNS look-ups: bounds of TTLs, timeouts, backoff. Plain values; times in nanoseconds.
+// Settings of DNS look-ups: TTL bounds, timeouts and backoff. All times are in nanoseconds.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,17 @@
 using Nanoseconds = std::int64_t;
 
 struct ResolutionSettings {
-  Nanoseconds minTtl = 1'000'000'000;              // shorter TTLs count as this
-  Nanoseconds maxTtl = 3'600'000'000'000;          // longer TTLs count as this
-  Nanoseconds staleTime = 3 * 86'400'000'000'000;  // past its TTL an answer serves for so long
-  Nanoseconds defaultNegativeTtl = 60'000'000'000; // of an answer that gives no TTL
-  Nanoseconds firstTimeout = 400'000'000;          // of the first query; doubled for each retry
-  int maxAttempts = 5;                             // of one look-up, over all servers
-  Nanoseconds minBackoff = 1'000'000'000;          // between look-ups that fail
+  // A TTL outside this range is clamped to it.
+  Nanoseconds minTtl = 1'000'000'000;
+  Nanoseconds maxTtl = 3'600'000'000'000;
+  Nanoseconds staleTime = 3 * 86'400'000'000'000;  // how long an answer is used after its TTL has ended
+  Nanoseconds defaultNegativeTtl = 60'000'000'000; // TTL of an answer that gives none
+  Nanoseconds firstTimeout = 400'000'000;          // timeout of the first query; doubles with each retry
+  int maxAttempts = 5;                             // attempts of one look-up, over all DNS servers
+  // Limits of the delay before the next look-up after a failed one.
+  Nanoseconds minBackoff = 1'000'000'000;
   Nanoseconds maxBackoff = 30'000'000'000;
-  // A name is looked up again after a random fraction of its TTL between these two.
+  // A name is looked up again after a random fraction of its TTL between these two limits.
   double minRefreshFraction = 0.75;
   double maxRefreshFraction = 0.95;
   bool operator==(const ResolutionSettings &) const = default;
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -32,7 +32,7 @@
       if (isGone) departed_.add(item.second.address, now);
       return isGone;
     });
-  // An address at which another name is in service has not departed.
+  // An address is not departed if an endpoint with another name is in service there.
   for (const auto &[name, entry] : entries_)
     if (entry.info.state == EndpointState::ready) departed_.erase(entry.address);
   departed_.limitSize();
--- a/src/policy/endpoint_merge.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Of the largest weight in a group: weight 0 has "a very small chance" (RFC 2782).
+// Smallest relative weight in a group. SRV weight 0 means "a very small chance of being selected" (RFC 2782).
 constexpr double kMinWeight = 0.01;
 
 std::string hostAndPort(const std::string &host, std::uint16_t port) {
@@ -50,15 +50,15 @@
     if (set.expireRetention(now, settings_.lossRetention, staleTime_)) isSubsetCurrent_ = false;
 }
 
-// A departed address stays out for as long as DNS records have it, however old their answer is.
-void EndpointMerge::mentionDeparted(Nanoseconds now) {
+// A departed address stays out of service while DNS records contain it, however old the answer is.
+void EndpointMerge::refreshDeparted(Nanoseconds now) {
   if (list_.departed().empty()) return;
   for (const auto &set : sets_)
     for (const auto &[key, target] : set.targets()) {
       const auto *host = target.isPresent ? hosts_.find(key.first) : nullptr;
       if (host == nullptr) continue;
       for (const auto &resolved : host->addresses)
-        list_.departed().onMention(hostAndPort(resolved.address, key.second), now);
+        list_.departed().onSeenInDns(hostAndPort(resolved.address, key.second), now);
     }
 }
 
@@ -66,13 +66,13 @@
   const auto &damping = settings_.flapDamping;
   const Nanoseconds targetMemoryTime = std::max(damping.maxSuppressTime, 2 * damping.halfLife);
   for (auto &set : sets_) set.forgetRemoved(now, targetMemoryTime);
-  hosts_.unmarkAll();
+  hosts_.clearInUse();
   for (const auto &set : sets_)
-    for (const auto &[key, target] : set.targets()) hosts_.mark(key.first);
-  hosts_.removeUnmarked();
-  mentionDeparted(now);
+    for (const auto &[key, target] : set.targets()) hosts_.markInUse(key.first);
+  hosts_.removeUnused();
+  refreshDeparted(now);
   list_.departed().forgetOlderThan(settings_.departedMemoryTime, now);
-  firstSightings_.forgetOlderThan(settings_.departedMemoryTime, now);
+  startTimes_.forgetOlderThan(settings_.departedMemoryTime, now);
 }
 
 void EndpointMerge::selectSubset() {
@@ -108,17 +108,17 @@
 
 void EndpointMerge::addAddressesOf(const SrvRecordSet &set, const TargetKey &key, const TargetState &target,
                                    DnsEndpoints &out) {
-  const auto &host = *hosts_.find(key.first); // forgetRemoved() has marked, and so added, each target's host
+  const auto &host = *hosts_.find(key.first); // not null: forgetRemoved() adds each target's host
   statistics_.unresolvedTargets += host.addresses.empty();
-  for (const auto &[address, isLater] : host.addresses) {
+  for (const auto &[address, appearedLater] : host.addresses) {
     const auto name = host.addresses.size() == 1 ? hostAndPort(key.first, key.second)
                                                  : hostAndPort(key.first + "[" + address + "]", key.second);
     const int release = host.release >= 0 ? host.release : set.release();
-    const DnsEndpoint endpoint{&set, &target, name, release, isLater};
-    const auto [place, isNew] = out.try_emplace(hostAndPort(address, key.second), endpoint);
+    const DnsEndpoint endpoint{&set, &target, name, release, appearedLater};
+    const auto [existing, isNew] = out.try_emplace(hostAndPort(address, key.second), endpoint);
     if (isNew) continue;
     ++statistics_.addressesWithTwoNames;
-    if (target.priority < place->second.target->priority) place->second = endpoint;
+    if (target.priority < existing->second.target->priority) existing->second = endpoint;
   }
 }
 
@@ -151,7 +151,8 @@
   EndpointInfo out;
   out.build = endpoint.release >= 0 ? endpoint.release : kUnknownBuild;
   out.zone = endpoint.set->zone() >= 0 ? endpoint.set->zone() : homeZone_;
-  out.startedAt = firstSightings_.onSight(address, !endpoint.target->wasInitial || endpoint.isLater, now);
+  out.startedAt = startTimes_.onAddressSeen(
+      address, !endpoint.target->wasInFirstAnswer || endpoint.appearedLater, now);
   return out;
 }
 
@@ -195,7 +196,8 @@
   }
 }
 
-// Numbers the SRV priorities in ascending order, and gives weights as fractions of the largest in a group.
+// Numbers the priority groups by ascending SRV priority, and sets each weight to a fraction of the largest
+// weight in its group.
 void EndpointMerge::assignPriorityGroups(std::vector<Entry> &out, const DnsEndpoints &inDns) const {
   std::map<int, double> maxWeights; // by priority
   for (const auto &entry : out)
@@ -274,7 +276,7 @@
   for (const auto &[name, entry] : list_.entries()) out.listed.push_back(entry);
   const auto &departed = list_.departed().all();
   out.departed.assign(departed.begin(), departed.end());
-  for (const auto &[address, sighting] : firstSightings_.all())
+  for (const auto &[address, sighting] : startTimes_.all())
     out.starts.emplace_back(address, sighting.startedAt);
   return out;
 }
@@ -289,7 +291,7 @@
   }
   for (const auto &host : snapshot.hosts) hosts_.restore(host.name, host.addresses, host.release);
   list_.restore(snapshot.listed, snapshot.departed);
-  for (const auto &[address, startedAt] : snapshot.starts) firstSightings_.restore(address, startedAt, now);
+  for (const auto &[address, startedAt] : snapshot.starts) startTimes_.restore(address, startedAt, now);
   isSubsetCurrent_ = false;
 }
 
--- a/src/policy/endpoint_merge_snapshot.h
+++ b/src/policy/endpoint_merge_snapshot.h
@@ -1,4 +1,5 @@
-// What an instance saves of the endpoint merge for its next start. Times are the instance's, in nanoseconds.
+// The part of the endpoint merge's state that an instance saves for its next start. Times are those of the
+// instance's clock, in nanoseconds.
 #pragma once
 
 #include "policy/endpoint_merge_types.h"
@@ -28,8 +29,8 @@
   std::vector<RecordSet> sets;
   std::vector<Host> hosts;
   std::vector<Entry> listed;
-  std::vector<std::pair<std::string, Nanoseconds>> departed; // address, latest mention
-  std::vector<std::pair<std::string, Nanoseconds>> starts;   // address, start of its endpoint
+  std::vector<std::pair<std::string, Nanoseconds>> departed; // address, time last seen
+  std::vector<std::pair<std::string, Nanoseconds>> starts;   // address, start time of its endpoint
 };
 
 } // namespace myrtlehead::endpoint_merge
--- a/src/policy/endpoint_merge_types.h
+++ b/src/policy/endpoint_merge_types.h
@@ -1,5 +1,5 @@
-// Values that the parts of the endpoint merge share: entries of the endpoint list, SRV targets, results of
-// DNS look-ups, limits.
+// Types and limits shared by the parts of the endpoint merge: entries of the endpoint list, SRV targets and
+// results of DNS look-ups.
 #pragma once
 
 #include "policy/endpoint.h"
@@ -11,16 +11,16 @@
 
 namespace myrtlehead::endpoint_merge {
 
-// Limit for the endpoints that DNS records may give, and for the departed addresses that are remembered.
+// Maximum number of targets of one record set, and of addresses that are remembered.
 constexpr std::size_t kMaxEndpoints = 20'000;
 
-// How many addresses of one host are used.
+// Maximum number of addresses used for one host.
 constexpr std::size_t kMaxAddressesPerHost = 4;
 
-// One endpoint as the endpoint list has it, or as the merge returns it.
+// One endpoint of the endpoint list or of the merged set.
 struct Entry {
   std::string name;
-  std::string address; // "host:port", the host an IP address
+  std::string address; // "host:port", where the host is an IP address
   EndpointInfo info;
 };
 
@@ -35,19 +35,19 @@
 // Identifies a target within a record set: host and port.
 using TargetKey = std::pair<std::string, std::uint16_t>;
 
-// Result of a DNS look-up, as far as the merge tells results apart.
+// Result of a DNS look-up, as the endpoint merge distinguishes results.
 enum class DnsRecordsResult {
   records,
   nxDomain,     // the name does not exist
   noData,       // the name has no records of the type
-  notAvailable, // SRV target ".": the service is decidedly not available (RFC 2782)
-  failed,       // no answer: says nothing about the endpoints
+  notAvailable, // the SRV target is ".": the zone states that the service is not available (RFC 2782)
+  failed,       // there was no answer, so nothing is known about the endpoints
 };
 
 // When a name is to be looked up again.
 enum class NextLookup {
-  onSchedule, // by its TTL
-  soon,       // earlier, to confirm that endpoints or addresses are gone
+  onSchedule, // before its TTL ends
+  soon,       // earlier, to confirm that endpoints or addresses have been removed
 };
 
 } // namespace myrtlehead::endpoint_merge
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,4 +1,4 @@
-// The endpoints that an instance knows, as its endpoint list tells them.
+// The endpoints that an instance knows, kept up to date from its endpoint list.
 #pragma once
 
 #include "policy/endpoint.h"
@@ -10,16 +10,18 @@
 
 class EndpointSet {
 public:
-  // A new endpoint, unlisted yet. It keeps its address for as long as the set lives.
+  // Adds an endpoint that no list contains yet. The returned reference stays valid for the lifetime of the
+  // set.
   Endpoint &add() { return endpoints_.emplace_back(); }
-  // Takes up what the list says of an endpoint; it counts among ready() after onUpdatesApplied().
+  // Applies what the list says of an endpoint. ready() reflects it after onUpdatesApplied().
   void onUpdate(Endpoint &endpoint, const EndpointInfo &info);
-  // All updates of one message have been taken up. isFullList: endpoints that were not in it are gone.
+  // To be called once all updates of one message have been applied. `isFullList`: whether the message
+  // contained the whole list, so that endpoints missing from it are no longer in service.
   void onUpdatesApplied(bool isFullList);
 
   std::deque<Endpoint> &all() { return endpoints_; }
   const std::deque<Endpoint> &all() const { return endpoints_; }
-  // Those in the latest list and ready, in the order in which they were added.
+  // The endpoints that are ready according to the latest list, in the order in which they were added.
   const std::vector<Endpoint *> &ready() const { return ready_; }
 
 private:
--- a/src/policy/flap_damping.cpp
+++ b/src/policy/flap_damping.cpp
@@ -28,7 +28,7 @@
                                 EarliestAfter &next) const {
   if (suppressedSince_ == 0) return;
   const double halfLivesLeft = std::log2(std::max(penaltyAt(settings, now) / settings.reuseBelow, 1.0));
-  // A millisecond more, so that the penalty has certainly passed the threshold by then.
+  // One millisecond is added so that the penalty is below the threshold at that time despite rounding.
   next.add(now + kMillisecond +
            static_cast<Nanoseconds>(halfLivesLeft * static_cast<double>(settings.halfLife)));
   next.add(suppressedSince_ + settings.maxSuppressTime);
--- a/src/policy/flap_damping.h
+++ b/src/policy/flap_damping.h
@@ -1,5 +1,6 @@
-// Flap damping (after RFC 2439): a target that leaves a record set and returns collects a penalty, which
-// decays exponentially. Above one threshold the target is suppressed, below another it is used again.
+// Flap damping (after RFC 2439): each return of a target to a record set that it had left adds 1 to the
+// target's penalty. The penalty decays exponentially. A target whose penalty exceeds `suppressAbove` is
+// suppressed until the penalty falls below `reuseBelow`.
 #pragma once
 
 #include "policy/earliest_after.h"
@@ -7,27 +8,27 @@
 namespace myrtlehead::endpoint_merge {
 
 struct FlapDampingSettings {
-  Nanoseconds halfLife = 60 * kSecond;         // of the penalty
-  double suppressAbove = 3;                    // penalty; each return adds 1
-  double reuseBelow = 1;                       // penalty
-  Nanoseconds maxSuppressTime = 300 * kSecond; // a suppression ends after this in any case
+  Nanoseconds halfLife = 60 * kSecond;         // half-life of the penalty
+  double suppressAbove = 3;                    // penalty above which a target is suppressed
+  double reuseBelow = 1;                       // penalty below which a suppressed target is used again
+  Nanoseconds maxSuppressTime = 300 * kSecond; // longest suppression, whatever the penalty
   bool operator==(const FlapDampingSettings &) const = default;
 };
 
-// The penalty of one target. Times are the instance's, in nanoseconds.
+// The penalty and suppression of one target. Times are those of the instance's clock, in nanoseconds.
 class FlapHistory {
 public:
-  // The target left the record set earlier and is back.
+  // Adds the penalty for a target that left the record set and has returned.
   void onReturn(const FlapDampingSettings &settings, Nanoseconds now);
-  // Whether the target is suppressed. Ends a suppression that is due to end, and clears its penalty then.
+  // Returns whether the target is suppressed. Ends a suppression that is over, and then clears the penalty.
   bool updateSuppression(const FlapDampingSettings &settings, Nanoseconds now);
-  // Adds the times at which a suppression may end.
+  // Adds the times at which the suppression may end to `next`.
   void addNextChange(const FlapDampingSettings &settings, Nanoseconds now, EarliestAfter &next) const;
 
 private:
   double penaltyAt(const FlapDampingSettings &settings, Nanoseconds now) const;
 
-  double penalty_ = 0; // as of updatedAt_
+  double penalty_ = 0; // value at updatedAt_
   Nanoseconds updatedAt_ = 0;
   Nanoseconds suppressedSince_ = 0; // 0: not suppressed
 };
--- a/src/policy/host_addresses.cpp
+++ b/src/policy/host_addresses.cpp
@@ -28,11 +28,12 @@
   if (it == hosts_.end() || result == DnsRecordsResult::failed) return NextLookup::onSchedule;
   auto &host = it->second;
   if (result != DnsRecordsResult::records) {
-    // Guards against a single wrong negative answer, as loss retention does for record sets.
-    if (++host.negativeAnswers >= confirmations) host.addresses.clear();
+    // A single wrong negative answer must not remove the addresses; loss retention does the same for record
+    // sets.
+    if (++host.consecutiveNegativeAnswers >= confirmations) host.addresses.clear();
     return host.addresses.empty() ? NextLookup::onSchedule : NextLookup::soon;
   }
-  host.negativeAnswers = 0;
+  host.consecutiveNegativeAnswers = 0;
   std::sort(addresses.begin(), addresses.end());
   addresses.erase(std::unique(addresses.begin(), addresses.end()), addresses.end());
   if (addresses.size() > kMaxAddressesPerHost) addresses.resize(kMaxAddressesPerHost);
@@ -40,8 +41,9 @@
   for (auto &address : addresses) {
     const auto previous = std::find_if(host.addresses.begin(), host.addresses.end(),
                                        [&](const auto &known) { return known.address == address; });
-    const bool isLater = previous != host.addresses.end() ? previous->isLater : !host.addresses.empty();
-    resolved.push_back({std::move(address), isLater});
+    const bool appearedLater = previous != host.addresses.end() ? previous->appearedLater
+                                                                : !host.addresses.empty();
+    resolved.push_back({std::move(address), appearedLater});
   }
   host.addresses.swap(resolved);
   return NextLookup::onSchedule;
@@ -57,12 +59,12 @@
   return host == hosts_.end() ? nullptr : &host->second;
 }
 
-void HostAddresses::unmarkAll() {
-  for (auto &[name, host] : hosts_) host.isMarked = false;
+void HostAddresses::clearInUse() {
+  for (auto &[name, host] : hosts_) host.isInUse = false;
 }
 
-void HostAddresses::removeUnmarked() {
-  std::erase_if(hosts_, [](const auto &host) { return !host.second.isMarked; });
+void HostAddresses::removeUnused() {
+  std::erase_if(hosts_, [](const auto &host) { return !host.second.isInUse; });
 }
 
 void HostAddresses::restore(const std::string &name, const std::vector<std::string> &addresses, int release) {
--- a/src/policy/loss_retention.cpp
+++ b/src/policy/loss_retention.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-// Targets. In a smaller record set the loss of half of them is an ordinary change.
+// Record sets with fewer targets lose more than half of them in ordinary changes.
 constexpr std::size_t kMinTargetsForSuddenLoss = 4;
 
-// A zone says "not available" deliberately: fewer answers confirm it.
+// A zone reports "not available" (target ".") on purpose, so fewer answers are needed to confirm it.
 constexpr int kNotAvailableConfirmations = 2;
 
 } // namespace
--- a/src/policy/priority_selector.cpp
+++ b/src/policy/priority_selector.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-// A group carries all requests if its healthy fraction times this is at least 1.
+// A group can carry all requests if the healthy fraction of its endpoints times this factor is at least 1.
 constexpr double kOverprovisioning = 1.4;
 
-// Latency ratios above which requests are diverted, and below which they come back. Both lie under the ratio
-// at which requests are shed, a half.
+// Latency ratio above which requests are diverted to other groups, and the ratio below which they return.
+// Both are below 0.5, the ratio at which requests are shed.
 constexpr double kDivertAbove = 0.4;
 constexpr double kReturnBelow = 0.3;
 
-// Change of the diverted share in one period.
+// Change of the diverted share per update.
 constexpr double kDivertStep = 0.05;
 constexpr double kReturnStep = 0.02;
 
-constexpr double kLatencyWeight = 0.05; // of one attempt in the moving mean
+constexpr double kLatencyWeight = 0.05; // weight of one attempt in the moving mean
 
 double healthyFraction(const PrioritySelector::Group &group) {
   if (group.endpoints == 0) return 0;
@@ -36,8 +36,8 @@
 }
 
 void PrioritySelector::updateShares(const std::vector<Group> &groups, Nanoseconds now) {
-  if (now - observedAt_ < kUpdateInterval && groups.size() == states_.size()) return;
-  observedAt_ = now;
+  if (now - updatedAt_ < kUpdateInterval && groups.size() == states_.size()) return;
+  updatedAt_ = now;
   states_.resize(groups.size());
   shares_.assign(groups.size(), 0);
   double unassigned = 1;
@@ -58,7 +58,8 @@
     shares_[i] = unassigned * capacity;
     unassigned -= shares_[i];
   }
-  // What no group can carry goes to the one that carries most: there it is shed, if it must be.
+  // Requests beyond the capacity of all groups go to the group with the largest capacity, which sheds them if
+  // it is overloaded.
   if (!groups.empty()) shares_[best] += unassigned;
 }
 
--- a/src/policy/srv_record_set.cpp
+++ b/src/policy/srv_record_set.cpp
@@ -4,7 +4,8 @@
 
 namespace myrtlehead::endpoint_merge {
 
-// Returns how many targets were present.
+// Marks every present target as missing until the answer that is being applied contains it. Returns the
+// number of present targets.
 std::size_t SrvRecordSet::markPresentAsMissing() {
   std::size_t present = 0;
   for (auto &[key, target] : targets_) {
@@ -23,7 +24,7 @@
   state.isMissing = false;
   if (state.isPresent) return;
   state.isPresent = true;
-  state.wasInitial = isFirstAnswer;
+  state.wasInFirstAnswer = isFirstAnswer;
   state.removedAt = 0;
   if (!isNew) state.flaps.onReturn(damping, now);
 }
@@ -96,7 +97,7 @@
   state.weight = target.weight;
   state.isPresent = removedAt == 0;
   state.removedAt = removedAt;
-  state.wasInitial = true;
+  state.wasInFirstAnswer = true;
 }
 
 void SrvRecordSet::restoreAge(Nanoseconds answeredAt, Nanoseconds validUntil) {
--- a/src/policy/srv_record_set.h
+++ b/src/policy/srv_record_set.h
@@ -1,4 +1,5 @@
-// The targets of one SRV name: which are present, which an answer left out and are retained, which have gone.
+// The targets of one SRV name: targets that are present, targets that are retained although the latest answer
+// omits them, and targets that have been removed.
 #pragma once
 
 #include "policy/flap_damping.h"
@@ -10,52 +11,52 @@
 
 namespace myrtlehead::endpoint_merge {
 
-// A target that the record set has, or lately had.
+// A target that the record set contains, or contained recently.
 struct TargetState {
   int priority = 0;
   int weight = 0;
-  bool isPresent = false;    // in the record set, a retained target included
-  bool isMissing = false;    // present, but the latest answer leaves it out
-  bool wasInitial = false;   // in the first answer: its endpoint started before this instance looked
-  Nanoseconds removedAt = 0; // 0: present, or never seen
+  bool isPresent = false;        // in the record set; also true for a retained target
+  bool isMissing = false;        // present, but omitted by the latest answer
+  bool wasInFirstAnswer = false; // its endpoint started before the first answer
+  Nanoseconds removedAt = 0;     // 0: present, or never seen
   FlapHistory flaps;
 };
 
-// Times are the instance's, in nanoseconds.
+// Times are those of the instance's clock, in nanoseconds.
 class SrvRecordSet {
 public:
-  // `release`, `zone`: of endpoints that have none of their own; -1: unknown.
+  // `release`, `zone`: defaults for endpoints without a release or zone of their own; -1: unknown.
   SrvRecordSet(std::string name, int release, int zone)
       : name_(std::move(name)), release_(release), zone_(zone) {}
 
-  // The result of a look-up other than `failed`, valid until `validUntil`. `staleTime`: for how long the
-  // targets serve as a last resort after the set is confirmed empty.
+  // Applies the result of a look-up, which must not be `failed`. `validUntil`: the end of the answer's TTL.
+  // `staleTime`: how long removed targets may be used as a last resort after the set is confirmed empty.
   NextLookup onAnswer(DnsRecordsResult result, const std::vector<Target> &targets, Nanoseconds validUntil,
                       Nanoseconds now, const LossRetentionSettings &retention,
                       const FlapDampingSettings &damping, Nanoseconds staleTime);
-  // Removes retained targets whose time is up. True: some were.
+  // Removes the retained targets if the retention time has ended. Returns whether it has.
   bool expireRetention(Nanoseconds now, const LossRetentionSettings &retention, Nanoseconds staleTime);
-  // Forgets targets that have been gone for longer than `memoryTime`, unless they may serve as a last resort.
+  // Forgets targets that were removed more than `memoryTime` ago, unless they may be used as a last resort.
   void forgetRemoved(Nanoseconds now, Nanoseconds memoryTime);
-  // A target and the age of the set, from a snapshot.
+  // Restore one target and the times of the latest answer from a snapshot.
   void restoreTarget(const Target &target, Nanoseconds removedAt);
   void restoreAge(Nanoseconds answeredAt, Nanoseconds validUntil);
 
   const std::string &name() const { return name_; }
   int release() const { return release_; }
   int zone() const { return zone_; }
-  Nanoseconds answeredAt() const { return answeredAt_; } // of the latest answer; 0: none yet
-  Nanoseconds validUntil() const { return validUntil_; } // end of its TTL; 0: none yet
+  Nanoseconds answeredAt() const { return answeredAt_; } // time of the latest answer; 0: none yet
+  Nanoseconds validUntil() const { return validUntil_; } // end of the latest answer's TTL; 0: none yet
   bool isStale(Nanoseconds now) const { return validUntil_ != 0 && now > validUntil_; }
   bool isExpired(Nanoseconds now, Nanoseconds staleTime) const {
     return validUntil_ != 0 && now - validUntil_ > staleTime;
   }
   bool isConfirmedEmpty() const { return isConfirmedEmpty_; }
-  // Confirmed empty, and its former targets may serve where nothing else does.
+  // Whether the set is confirmed empty and its removed targets may be used as a last resort.
   bool mayServeRemoved(Nanoseconds now) const { return isConfirmedEmpty_ && now < lastResortUntil_; }
   const std::map<TargetKey, TargetState> &targets() const { return targets_; }
   std::map<TargetKey, TargetState> &targets() { return targets_; }
-  // Adds the times at which the set changes by itself.
+  // Adds the times at which the set changes without a new answer to `next`.
   void addNextChange(Nanoseconds now, const LossRetentionSettings &retention,
                      const FlapDampingSettings &damping, Nanoseconds staleTime, EarliestAfter &next) const;
 
@@ -73,7 +74,7 @@
   Nanoseconds validUntil_ = 0;
   LossRetention retention_;
   bool isConfirmedEmpty_ = false;
-  Nanoseconds lastResortUntil_ = 0; // where it is confirmed empty
+  Nanoseconds lastResortUntil_ = 0; // 0: removed targets may not be used
 };
 
 } // namespace myrtlehead::endpoint_merge
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-// By this fraction of its size the mean subset may be off before the number of instances for an endpoint
-// changes.
+// The mean subset size may differ from the configured size by this fraction before the number of instances
+// per endpoint is computed again.
 constexpr double kSizeTolerance = 0.25;
 
 } // namespace
 
 Subset::Subset(int instanceCount, int ownIndex, int size) : ownIndex_(ownIndex), size_(size) {
   for (int i = 0; i < instanceCount; ++i) {
-    const std::uint32_t number = static_cast<std::uint32_t>(i);
-    instanceKeys_.push_back(XXH3_64bits(&number, sizeof number));
+    const std::uint32_t index = static_cast<std::uint32_t>(i);
+    instanceKeys_.push_back(XXH3_64bits(&index, sizeof index));
   }
 }
 
 int Subset::computeOwnRank(const std::string &endpoint) const {
   const auto endpointKey = XXH3_64bits(endpoint.data(), endpoint.size());
   const auto scoreOf = [&](std::size_t instance) {
-    const std::uint64_t both[2] = {endpointKey, instanceKeys_[instance]};
-    return XXH3_64bits(both, sizeof both);
+    const std::uint64_t keys[2] = {endpointKey, instanceKeys_[instance]};
+    return XXH3_64bits(keys, sizeof keys);
   };
   const auto ownScore = scoreOf(static_cast<std::size_t>(ownIndex_));
   int rank = 0;
@@ -35,8 +35,8 @@
   return rank;
 }
 
-// Guards against all connections moving where the set's size crosses a step: the number stays while the mean
-// subset is near enough to the size.
+// Keeps the number of instances per endpoint while the mean subset size is within the tolerance. Otherwise a
+// small change of the endpoint count could change the number for every endpoint and so move all connections.
 void Subset::updateInstancesPerEndpoint(std::size_t endpointCount) {
   const auto instanceCount = static_cast<double>(instanceKeys_.size());
   const auto all = static_cast<double>(endpointCount);
@@ -44,8 +44,8 @@
   const bool isTooSmall = meanSize < size_ * (1 - kSizeTolerance);
   const bool isTooLarge = meanSize > size_ * (1 + kSizeTolerance) + all / instanceCount;
   if (instancesPerEndpoint_ != 0 && !isTooSmall && !isTooLarge) return;
-  const int wanted = static_cast<int>(size_ * instanceCount / all + 0.999); // rounded up
-  instancesPerEndpoint_ = std::clamp(wanted, 1, static_cast<int>(instanceKeys_.size()));
+  const int needed = static_cast<int>(size_ * instanceCount / all + 0.999); // rounded up
+  instancesPerEndpoint_ = std::clamp(needed, 1, static_cast<int>(instanceKeys_.size()));
 }
 
 std::vector<bool> Subset::select(const std::vector<std::string> &endpoints) {
@@ -67,10 +67,10 @@
   }
   ownRanks_.swap(ranksByName);
   std::vector<bool> selected(count);
-  const auto least = static_cast<std::ptrdiff_t>(std::max(size_ / 2, 1));
-  for (int maxRank = instancesPerEndpoint_;; ++maxRank) { // ends: at the number of instances all are selected
+  const auto minSelected = static_cast<std::ptrdiff_t>(std::max(size_ / 2, 1));
+  for (int maxRank = instancesPerEndpoint_;; ++maxRank) { // terminates: maxRank == instance count selects all
     for (std::size_t i = 0; i < count; ++i) selected[i] = ranks[i] < maxRank;
-    if (std::count(selected.begin(), selected.end(), true) >= least) return selected;
+    if (std::count(selected.begin(), selected.end(), true) >= minSelected) return selected;
   }
 }
 
