--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -29,7 +29,7 @@
 
 net::Task<> EndpointWatch::run() {
   for (;;) {
-    co_await router_.nextListRequest();
+    co_await router_.awaitListPollDue();
     if (!calls_.empty())
       log_.info("polling discovery again while an earlier watch is still open", {{"index", listIndex_}});
     startCall();
@@ -40,7 +40,7 @@
   if (address == address_) return;
   address_ = address;
   ++addressVersion_;
-  router_.onDiscoveryMoved();
+  router_.onDiscoveryAddressChanged();
 }
 
 // Earlier calls stay open until a newer one has received a message, so that there is no gap in the updates:
@@ -85,7 +85,7 @@
   calls_.erase(number);
   if (superseded->isCancelled()) co_return;
   log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", exchange.head().status}});
-  router_.onListClosed(classifyEnd(poll, cause, call->hasReceivedMessage), otherCalls(), calls_.empty());
+  router_.onListCallEnded(classifyEnd(poll, cause, call->hasReceivedMessage), otherCalls(), calls_.empty());
 }
 
 // Handles and removes the complete lines at the start of `received`. An empty line is a keep-alive.
@@ -97,8 +97,8 @@
       if (error != net::ErrorCode::none) return error;
     }
     call.hasReceivedMessage = true;
-    router_.onListMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
-                                                   : MessageSource::previousAddress);
+    router_.onWatchMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
+                                                    : MessageSource::previousAddress);
     cancelOlderCalls(number);
   }
   return net::ErrorCode::none;
