--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -10,49 +10,51 @@
 namespace {
 
 constexpr Nanoseconds kStartupTimeout = 2 * kSecond; // for the complete startup message
-constexpr Nanoseconds kMessageTimeout = 2 * kSecond; // for the rest of a message that has begun
-constexpr Nanoseconds kFirstMessageTimeout = 5 * kSecond /
-                                             2; // from the opening, for a connection's first one
-constexpr Nanoseconds kClosingTime = kSecond;   // for a client to see the connection's end
+constexpr Nanoseconds kMessageTimeout = 2 * kSecond; // for the rest of a partly received message
+// For the rest of a connection's first message, counted from when the connection was opened.
+constexpr Nanoseconds kFirstMessageTimeout = 5 * kSecond / 2;
+constexpr Nanoseconds kClosingTime = kSecond; // for the client to see the end of the connection
 constexpr Nanoseconds kMaxThrottle = kSecond / 10;
-constexpr std::size_t kSmallMessageBytes = 16 * 1024; // needs no reservation; a buffer that is kept
-constexpr unsigned kMessagesPerTurn = 32;             // then other sessions are resumed
-constexpr unsigned kFaultsPerThrottleStep = 32;       // each step waits a millisecond more
+// Messages up to this size need no memory reservation, and buffers up to this size are kept.
+constexpr std::size_t kSmallMessageBytes = 16 * 1024;
+constexpr unsigned kMessagesPerTurn = 32; // after these, the scheduler may resume other sessions
+// The delay between turns grows by one millisecond for each of these steps.
+constexpr unsigned kInvalidCommandsPerThrottleStep = 32;
 constexpr int kMaxReadsWhileClosing = 16;
 constexpr int kMaxEncryptionRequests = 2;
-constexpr Nanoseconds kNoMessageBegun = 0; // in place of a message's deadline
+constexpr Nanoseconds kNoMessageStarted = 0; // in place of a message's deadline
 
 } // namespace
 
 ClientSession::ClientSession(Listener &listener, std::unique_ptr<net::Socket> socket, std::uint32_t number)
     : listener_(listener), socket_(std::move(socket)), number_(number), openedAt_(listener.sched_.now()),
       listedSince_(openedAt_) {
-  positionInAll_ = listener_.all_.insert(listener_.all_.end(), this);
+  positionInSessions_ = listener_.sessions_.insert(listener_.sessions_.end(), this);
   socket_->cancelOnHangUp(&clientGone_);
 }
 
 ClientSession::~ClientSession() {
-  for (auto &request : requests_) listener_.pipeliningLimits_.leave(request.ticket);
+  for (auto &request : requests_) listener_.pipeliningLimits_.release(request.ticket);
   moveToList(ReclaimList::none);
-  listener_.all_.erase(positionInAll_);
+  listener_.sessions_.erase(positionInSessions_);
   listener_.sessionEnded_.notify();
 }
 
-std::list<ClientSession *> &ClientSession::listOf(ReclaimList list) {
+std::list<ClientSession *> &ClientSession::sessionsIn(ReclaimList list) {
   if (list == ReclaimList::closing) return listener_.closing_;
   return list == ReclaimList::unused ? listener_.unused_ : listener_.idle_;
 }
 
 void ClientSession::moveToList(ReclaimList list) {
   if (list == list_) return;
-  if (list_ != ReclaimList::none) listOf(list_).erase(positionInList_);
+  if (list_ != ReclaimList::none) sessionsIn(list_).erase(positionInList_);
   list_ = list;
   listedSince_ = listener_.sched_.now();
-  if (list != ReclaimList::none) positionInList_ = listOf(list).insert(listOf(list).end(), this);
+  if (list != ReclaimList::none) positionInList_ = sessionsIn(list).insert(sessionsIn(list).end(), this);
 }
 
 net::Task<> ClientSession::failConnection(std::string_view message) {
-  listener_.countFault(message);
+  listener_.countClientError(message);
   pg::addError(replies_.tail(), {"FATAL", "08P01", message});
   const auto client = co_await drain();
   if (client == ClientState::connected) co_await closeGracefully();
@@ -64,19 +66,20 @@
 }
 
 void ClientSession::closeIdle() {
-  moveToList(ReclaimList::none); // it is not asked twice
+  moveToList(ReclaimList::none); // the listener must not choose it again
   requestCloseNow();
   if (phase_ == Phase::closing) clientGone_.cancel();
 }
 
 void ClientSession::closeWhenAnswered() {
-  if (phase_ == Phase::closing) return; // it ends soon by itself
+  if (phase_ == Phase::closing) return; // it is about to end already
   closeRequest_ = std::max(closeRequest_, CloseRequest::whenAnswered);
   if (requests_.empty() && !isWriting_) closeIdle();
 }
 
-// Guards what was written last: closed with bytes unread, a connection is reset, and the client may not see
-// it. Little is read of what still arrives, so that a client that sends much occupies nothing.
+// Closes the connection so that the client receives the last answer: closing a socket with unread bytes
+// resets the connection, and a reset can discard the answer. Only a limited amount of incoming data is read,
+// so that a client that keeps sending does not use up resources.
 net::Task<> ClientSession::closeGracefully() {
   phase_ = Phase::closing;
   moveToList(ReclaimList::closing);
@@ -91,11 +94,11 @@
     co_await listener_.sched_.sleep(deadline.at - listener_.sched_.now(), &clientGone_);
 }
 
-// Guards the answer written last, and a request that crosses our end: closed with bytes unread, a connection
-// is reset, which can overtake the answer. The client sees our end first, and what it has sent into that end
-// was not read: by the protocol it sends it once more elsewhere. So nothing is read here, and no request is
-// cut off half-answered. A connection that is closed for its descriptor has had its last answer a while ago,
-// and goes at once.
+// Closes the connection at a shutdown so that the client receives the last answer: closing a socket with
+// unread bytes resets the connection, and a reset can overtake the answer. The client sees the end of the
+// connection first. By the service's protocol, it resends elsewhere a request that crossed the end, so
+// nothing is read here, and no request is closed half-answered. A connection that is closed for its
+// descriptor has had its last answer some time ago and is closed at once.
 net::Task<> ClientSession::closeAtShutdown() {
   if (!listener_.shutdown_.isInProgress()) co_return;
   phase_ = Phase::closing;
@@ -111,7 +114,8 @@
   moveToList(ReclaimList::none);
   if (started == SessionFlow::end) co_return;
   if (!isServed) {
-    pg::addError(replies_.tail(), {"FATAL", "53300", "too many connections; trying again is harmless"});
+    pg::addError(replies_.tail(),
+                 {"FATAL", "53300", "too many client connections; the request can be retried safely"});
     const auto client = co_await flush();
     if (client == ClientState::connected) co_await closeGracefully();
     co_return;
@@ -134,27 +138,28 @@
   co_await drain();
 }
 
-// Returns once a further message may be started.
+// Returns once another message may be started, or the client is gone.
 net::Task<ClientState> ClientSession::awaitUsageWithinLimits() {
   const auto &limits = listener_.pipeliningLimits_;
-  while (replies_.bytes() > kSmallMessageBytes || !limits.mayStartMessage(usage())) {
+  while (replies_.byteCount() > kSmallMessageBytes || !limits.mayStartMessage(usage())) {
     const auto client = co_await flush();
     if (client == ClientState::gone) co_return ClientState::gone;
     if (limits.mayStartMessage(usage())) break;
     const net::Deadline deadline{sched::kNever, &clientGone_};
-    co_await listener_.sched_.wait(progressed_, deadline);
+    co_await listener_.sched_.wait(answerProgress_, deadline);
   }
   co_return ClientState::connected;
 }
 
-// Guards the other clients against one that sends unusable commands over and over: the more of them, the
-// longer it waits for its next turn.
+// Delays the session, the longer the more invalid commands the client has sent, so that a client that keeps
+// sending invalid commands does not slow down the others.
 net::Task<> ClientSession::throttle() {
-  const auto time = std::min<Nanoseconds>(faults_ / kFaultsPerThrottleStep * kMillisecond, kMaxThrottle);
+  const auto time = std::min<Nanoseconds>(invalidCommands_ / kInvalidCommandsPerThrottleStep * kMillisecond,
+                                          kMaxThrottle);
   co_await listener_.sched_.sleep(time, &clientGone_);
 }
 
-// The startup message, and requests for encryption before it, which are declined.
+// Reads and answers the startup message. Requests for encryption before it are declined.
 net::Task<SessionFlow> ClientSession::startUp(Nanoseconds within) {
   const net::Deadline deadline{listener_.sched_.now() + within, &closeToken_};
   for (int encryptionRequests = 0;;) {
@@ -162,7 +167,7 @@
     const auto parsed = pg::parseStartup(buffer_.view(), startup);
     if (parsed == pg::Parsed::more) {
       auto error = co_await socket_->read(buffer_, deadline);
-      if (error == ErrorCode::cancelled) error = co_await finalRead(kNoMessageBegun);
+      if (error == ErrorCode::cancelled) error = co_await readFinalMessage(kNoMessageStarted);
       const bool isClosed = closeToken_.isCancelled() && error == ErrorCode::timedOut;
       if (isClosed) co_await closeAtShutdown();
       if (error != ErrorCode::none) co_return SessionFlow::end;
@@ -171,10 +176,11 @@
     }
     const bool isUnusable = parsed == pg::Parsed::bad || startup.kind == pg::Opening::unknown;
     if (isUnusable || encryptionRequests > kMaxEncryptionRequests) {
-      co_await failConnection("the startup message is not protocol 3");
+      co_await failConnection("invalid startup message: protocol version 3 is required");
       co_return SessionFlow::end;
     }
-    if (startup.kind == pg::Opening::cancel) co_return SessionFlow::end; // there is no query to cancel
+    // A CancelRequest closes the connection without an answer; there is no query that it could cancel.
+    if (startup.kind == pg::Opening::cancel) co_return SessionFlow::end;
     buffer_.consume(startup.size);
     if (startup.kind == pg::Opening::encryption) {
       ++encryptionRequests;
@@ -191,26 +197,27 @@
   }
 }
 
-// The next message, at the front of the buffer. Between messages the connection may be closed.
+// Reads until a whole message is at the front of the buffer, to which `out` refers. The connection may be
+// closed between messages.
 net::Task<SessionFlow> ClientSession::nextMessage(pg::Message &out) {
-  for (Nanoseconds messageDeadline = kNoMessageBegun;;) {
+  for (Nanoseconds messageDeadline = kNoMessageStarted;;) {
     const auto parsed = pg::parseMessage(buffer_.view(), out);
     if (parsed == pg::Parsed::whole) co_return SessionFlow::proceed;
     if (parsed == pg::Parsed::bad) {
-      co_await failConnection("a message with an impossible length");
+      co_await failConnection("message length is invalid or above the limit");
       co_return SessionFlow::end;
     }
     const auto client = co_await flush();
     if (client == ClientState::gone) co_return SessionFlow::end;
-    if (faults_ >= kFaultsPerThrottleStep) co_await throttle();
-    // To be closed, with requests in flight again: they are answered first.
+    if (invalidCommands_ >= kInvalidCommandsPerThrottleStep) co_await throttle();
+    // Requests that are in flight when the connection is to be closed are answered first.
     if (closeToken_.isCancelled()) {
       const auto drained = co_await drain();
       if (drained == ClientState::gone) co_return SessionFlow::end;
     }
     const bool isBetweenMessages = buffer_.empty();
     if (!isBetweenMessages) messageDeadline = deadlineOfPartialMessage(messageDeadline);
-    // One on which nothing usable was asked may be closed for those that ask, as before its startup message.
+    // A connection without a valid statement may be closed for a new one, as before its startup message.
     const bool isIdle = isBetweenMessages && requests_.empty() && !isWriting_;
     moveToList(isIdle ? ReclaimList::idle : hasBeenUsed() ? ReclaimList::none : ReclaimList::unused);
     if (!isBetweenMessages) {
@@ -223,44 +230,45 @@
     if (!closeToken_.isCancelled()) error = co_await socket_->read(buffer_, deadline);
     isAwaitingMessage_ = false;
     moveToList(ReclaimList::none);
-    if (error == ErrorCode::cancelled) error = co_await finalRead(messageDeadline);
+    if (error == ErrorCode::cancelled) error = co_await readFinalMessage(messageDeadline);
     const bool isTimedOut = error == ErrorCode::timedOut;
     const bool isClosed = isTimedOut && closeToken_.isCancelled();
     if (isClosed) co_await closeAtShutdown();
-    if (isTimedOut && !isClosed) co_await failConnection("a message that does not end");
+    if (isTimedOut && !isClosed) co_await failConnection("timed out waiting for the rest of a message");
     if (error != ErrorCode::none) co_return SessionFlow::end;
     lastReadAt_ = listener_.sched_.now();
   }
 }
 
-// `current`: as it was set when a part of the message had arrived before.
+// Returns the deadline for the rest of a partly received message. `current` is the deadline set when its
+// first part arrived, or kNoMessageStarted.
 Nanoseconds ClientSession::deadlineOfPartialMessage(Nanoseconds current) const {
   auto deadline = current;
-  if (deadline == kNoMessageBegun)
+  if (deadline == kNoMessageStarted)
     deadline = hasBeenUsed() ? listener_.sched_.now() + kMessageTimeout : openedAt_ + kFirstMessageTimeout;
   const auto &shutdown = listener_.shutdown_;
   return shutdown.isInProgress() ? std::min(deadline, shutdown.partialMessageDeadline()) : deadline;
 }
 
-// What is still read once the connection is to be closed: the rest of a message that has begun, and, as the
-// instance shuts down, a new connection's first message. Else one read without waiting, which guards a
-// request that has crossed the decision to close; and no second one, as a client may always have a further
-// request.
-net::Task<ErrorCode> ClientSession::finalRead(Nanoseconds messageDeadline) {
-  const bool hasBegun = messageDeadline > kNoMessageBegun;
-  const bool waits = hasBeenUsed() ? hasBegun : listener_.shutdown_.isInProgress();
-  if (!waits) {
+// Reads once more after closeToken_ was cancelled. It waits for the rest of a partly received message and,
+// during a shutdown, for the first message of a new connection. Otherwise it reads once without waiting, for
+// a request that was sent before the client could see the end of the connection. It does not read a second
+// time, because a client may always have another request. Returns timedOut if nothing is left to read.
+net::Task<ErrorCode> ClientSession::readFinalMessage(Nanoseconds messageDeadline) {
+  const bool hasPartialMessage = messageDeadline > kNoMessageStarted;
+  const bool mayWait = hasBeenUsed() ? hasPartialMessage : listener_.shutdown_.isInProgress();
+  if (!mayWait) {
     if (closeRequest_ == CloseRequest::finalReadDone) co_return ErrorCode::timedOut;
     closeRequest_ = CloseRequest::finalReadDone;
     co_return socket_->tryRead(buffer_);
   }
-  const net::Deadline deadline{hasBegun ? messageDeadline : listener_.shutdown_.partialMessageDeadline(),
-                               nullptr};
+  const net::Deadline deadline{
+      hasPartialMessage ? messageDeadline : listener_.shutdown_.partialMessageDeadline(), nullptr};
   const auto error = co_await socket_->read(buffer_, deadline);
   co_return error;
 }
 
-// Reserves memory for the message at the front of the buffer, if it is a large one.
+// Reserves memory for the message at the front of the buffer if the message is large.
 net::Task<SessionFlow> ClientSession::reserveMessageMemory(Nanoseconds messageDeadline) {
   const auto size = pg::announcedSize(buffer_.view());
   if (size <= kSmallMessageBytes || memory_.isAcquired()) co_return SessionFlow::proceed;
@@ -268,7 +276,7 @@
   const auto reserved = co_await net::MemoryReservation::acquire(listener_.sched_, listener_.messageMemory_,
                                                                  size, deadline, memory_);
   if (reserved != net::MemoryReservation::Result::acquired) co_return SessionFlow::end;
-  buffer_.prepare(size + kSmallMessageBytes - buffer_.view().size()); // once, for all that comes
+  buffer_.prepare(size + kSmallMessageBytes - buffer_.view().size()); // one allocation for the whole message
   co_return SessionFlow::proceed;
 }
 
--- a/src/downstream/client_session_messages.cpp
+++ b/src/downstream/client_session_messages.cpp
@@ -1,4 +1,4 @@
-// What each message of a client is answered.
+// The answer to each message of a client.
 #include "downstream/client_session.h"
 
 #include <algorithm>
@@ -6,8 +6,8 @@
 namespace myrtlehead::downstream {
 
 void ClientSession::replyWithError(std::string_view code, std::string_view message, ReadyForQuery ready) {
-  ++faults_;
-  listener_.countFault(message);
+  ++invalidCommands_;
+  listener_.countClientError(message);
   auto &out = replies_.tail();
   pg::addError(out, {"ERROR", code, message});
   if (ready == ReadyForQuery::atOnce) pg::addReady(out);
@@ -18,7 +18,7 @@
   if (isSkippingToSync_ && message.type != 'S' && message.type != 'X') co_return SessionFlow::proceed;
   if (kExtendedQueryTypes.find(message.type) != std::string_view::npos) {
     isSkippingToSync_ = message.type != 'F'; // a function call is answered without Sync
-    replyWithError("0A000", "only simple queries are served here",
+    replyWithError("0A000", "only the simple query protocol is supported",
                    isSkippingToSync_ ? ReadyForQuery::afterSync : ReadyForQuery::atOnce);
     co_return SessionFlow::proceed;
   }
@@ -27,11 +27,11 @@
     std::string_view body = message.body, sql;
     const bool isComplete = pg::takeText(body, sql) && body.empty();
     if (!isComplete) {
-      co_await failConnection("a query without its closing zero");
+      co_await failConnection("a Query message must contain exactly one zero-terminated string");
       co_return SessionFlow::end;
     }
     const auto statement = pg::parseStatement(sql);
-    const auto client = co_await awaitOwnIdFree(statement);
+    const auto client = co_await awaitRequestIdFree(statement);
     if (client == ClientState::gone) co_return SessionFlow::end;
     answerStatement(statement);
     co_return SessionFlow::proceed;
@@ -44,26 +44,26 @@
   case 'd':
   case 'c':
   case 'f':
-    co_return SessionFlow::proceed; // the rest of a copy that was rejected
+    co_return SessionFlow::proceed; // CopyData, CopyDone, CopyFail: the rest of a rejected COPY
   case 'X':
     co_return SessionFlow::end;
   }
-  co_await failConnection("a message of unknown type");
+  co_await failConnection("unknown message type");
   co_return SessionFlow::end;
 }
 
-bool ClientSession::isOwnOpenId(std::string_view id) const {
-  if (!listener_.openIds_.contains(id)) return false;
+bool ClientSession::isOpenOnThisConnection(std::string_view id) const {
+  if (!listener_.openRequestIds_.contains(id)) return false;
   return replies_.hasId(id) || (beingWritten_ != nullptr && hasId(beingWritten_->replies, id));
 }
 
-// A request with the id of an earlier one on the same connection waits for that one's answer, as it would
-// without pipelining.
-net::Task<ClientState> ClientSession::awaitOwnIdFree(const pg::Statement &statement) {
+// Waits while an earlier request on the same connection has the same id, until the earlier one is answered,
+// as it would without pipelining.
+net::Task<ClientState> ClientSession::awaitRequestIdFree(const pg::Statement &statement) {
   const net::Deadline deadline{sched::kNever, &clientGone_};
-  while (statement.kind == pg::Statement::request && isOwnOpenId(statement.id)) {
+  while (statement.kind == pg::Statement::request && isOpenOnThisConnection(statement.id)) {
     if (clientGone_.isCancelled()) co_return ClientState::gone;
-    co_await listener_.sched_.wait(progressed_, deadline);
+    co_await listener_.sched_.wait(answerProgress_, deadline);
   }
   co_return ClientState::connected;
 }
@@ -74,7 +74,8 @@
   case pg::Statement::request: {
     const auto &routes = listener_.routes_;
     const auto at = std::find(routes.begin(), routes.end(), statement.route);
-    if (at == routes.end()) return replyWithError(statement.code, "the comment names an unknown route");
+    if (at == routes.end())
+      return replyWithError(statement.code, "unknown route in field c of the request comment");
     return startRequest(statement, static_cast<int>(at - routes.begin()));
   }
   case pg::Statement::malformed:
--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -1,4 +1,5 @@
-// Requests in flight of a client connection: attempted side by side, answered in the order of their commands.
+// Requests in flight on a client connection: attempted concurrently and answered in the order of their
+// commands.
 #include "downstream/client_session.h"
 
 #include "policy/log_text.h"
@@ -14,19 +15,19 @@
 
 namespace {
 
-constexpr Nanoseconds kWriteTimeout = 5 * kSecond; // for a client to read an answer
+constexpr Nanoseconds kWriteTimeout = 5 * kSecond; // for the client to read a batch of answers
 
 } // namespace
 
 pipelining_limits::ConnectionUsage ClientSession::usage() const {
   const auto writing = beingWritten_ != nullptr ? beingWritten_->text.size() : 0;
-  return {requests_.size(), replies_.bytes() + writing};
+  return {requests_.size(), replies_.byteCount() + writing};
 }
 
 void ClientSession::startRequest(const pg::Statement &parsed, int route) {
-  // Guards the client that uses the id rightly: two answers to one id could be told apart by nobody.
-  const auto [id, isFree] = listener_.openIds_.emplace(parsed.id);
-  if (!isFree) return replyWithError("42710", "another request with this id is open");
+  // Two open requests must not share an id, because their answers could not be told apart.
+  const auto [id, isFree] = listener_.openRequestIds_.emplace(parsed.id);
+  if (!isFree) return replyWithError("42710", "another request with the same id is in progress");
   phase_ = Phase::used;
   auto &request = requests_.emplace_back();
   const auto self = std::prev(requests_.end());
@@ -35,13 +36,13 @@
   request.route = route;
   request.arrivedAt = lastReadAt_;
   request.memory = std::move(memory_);
-  request.reply = &replies_.add();
-  request.reply->id = OpenId(listener_.openIds_, id);
+  request.reply = &replies_.addReply();
+  request.reply->id = OpenRequestId(listener_.openRequestIds_, id);
   request.ticket.onAdmitted = [&request] { request.admitted.notify(); };
   const auto position = requests_.size() == 1 ? RequestPosition::first : RequestPosition::behindOthers;
-  listener_.pipeliningLimits_.enter(request.ticket, position);
+  listener_.pipeliningLimits_.requestAdmission(request.ticket, position);
   request.task.emplace(serveRequest(self));
-  request.task->start(); // at once: up to its first wait
+  request.task->start(); // runs the coroutine up to its first wait
 }
 
 net::Task<> ClientSession::serveRequest(Requests::iterator self) {
@@ -51,14 +52,14 @@
     if (admission == AdmissionResult::admitted) co_await attemptRequest(request);
   } catch (const std::exception &error) {
     if (listener_.sched_.onUncaughtException) listener_.sched_.onUncaughtException(error.what());
-    abortConnection(); // it has no answer, so nothing behind it can be answered
+    abortConnection(); // without this answer, none of the later ones can be written
   }
   finishRequest(self);
   co_await flush();
   request.isFinished = true;
 }
 
-// Waits until the request may be attempted, or rejects it.
+// Waits until the request may be attempted, or rejects it at its admission deadline.
 net::Task<ClientSession::AdmissionResult> ClientSession::awaitAdmission(Request &request) {
   const auto latest = pipelining_limits::admissionDeadline(request.arrivedAt, clientTimeout(request));
   const net::Deadline deadline{latest, &clientGone_};
@@ -68,11 +69,11 @@
   }
   if (clientGone_.isCancelled()) co_return AdmissionResult::clientGone;
   if (!listener_.shutdown_.mayStartRequest(listener_.sched_.now())) {
-    rejectRequest(request, "this marshal ends; trying again is harmless");
+    rejectRequest(request, "the gateway is shutting down; the request can be retried safely");
     co_return AdmissionResult::rejected;
   }
   if (request.ticket.state != AdmissionTicket::admitted) {
-    rejectRequest(request, "too many requests at once; trying again is harmless");
+    rejectRequest(request, "too many concurrent requests; the request can be retried safely");
     co_return AdmissionResult::rejected;
   }
   co_return AdmissionResult::admitted;
@@ -87,38 +88,40 @@
   auto &router = listener_.router_;
   const auto &statement = request.statement;
   auto &reply = *request.reply;
-  RequestContext call(request.route, statement.key, clientTimeout(request), statement.repeat,
-                      request.arrivedAt);
-  auto decision = co_await router.nextAttempt(call, clientGone_);
+  RequestContext context(request.route, statement.key, clientTimeout(request), statement.repeat,
+                         request.arrivedAt);
+  auto decision = co_await router.nextAttempt(context, clientGone_);
   while (decision.action == AttemptDecision::forward) {
     const net::Deadline deadline{decision.deadline, &clientGone_};
     auto *endpoint = decision.endpoint;
     auto result = co_await listener_.pool_.attempt(*endpoint, statement, deadline, decision.sendBy,
-                                                   [&] { return router.isStillCurrent(call); });
-    listener_.log_.debug("attempt", {{"endpoint", endpoint->name},
-                                     {"outcome", nameOf(result.outcome)},
-                                     {"load_fields", result.loadValues.size()}});
-    if (!result.loadValues.empty()) router.onLoadReport(call, result.loadValues);
-    if (clientGone_.isCancelled()) router.onClientDisconnected(call);
-    decision = router.onAttemptFinished(call, result.outcome);
+                                                   [&] { return router.isStillCurrent(context); });
+    listener_.log_.debug("attempt finished", {{"endpoint", endpoint->name},
+                                              {"outcome", nameOf(result.outcome)},
+                                              {"load_fields", result.loadValues.size()}});
+    if (!result.loadValues.empty()) router.onLoadReport(context, result.loadValues);
+    if (clientGone_.isCancelled()) router.onClientDisconnected(context);
+    decision = router.onAttemptFinished(context, result.outcome);
     if (result.outcome != Outcome::succeeded) continue;
     reply.text = std::move(result.answer);
     reply.memory = std::move(result.memory);
   }
   if (clientGone_.isCancelled()) {
-    router.onClientDisconnected(call);
+    router.onClientDisconnected(context);
     co_return;
   }
   const bool isShed = decision.action == AttemptDecision::shed;
   if (decision.action != AttemptDecision::none) {
     const auto elapsed = listener_.sched_.now() - request.arrivedAt;
-    listener_.log_.debug(isShed ? "shed a request" : "failed a request",
+    listener_.log_.debug(isShed ? "request shed" : "request failed",
                          {{"route", request.route}, {"after_ms", elapsed / kMillisecond}});
   }
   if (isShed)
-    rejectRequest(request, "too busy; trying again is harmless", decision.retryAfter);
+    rejectRequest(request, "overloaded or no usable endpoint; the request can be retried safely",
+                  decision.retryAfter);
   else if (decision.action == AttemptDecision::fail)
-    pg::addError(reply.text, {"ERROR", "XX000", "no answer could be had; it may have run"});
+    pg::addError(reply.text,
+                 {"ERROR", "XX000", "no endpoint answered successfully; the request may have been executed"});
 }
 
 void ClientSession::rejectRequest(Request &request, std::string_view message, Nanoseconds retryAfter) {
@@ -126,13 +129,14 @@
   pg::addError(request.reply->text, {"ERROR", "53300", message, retryAfterMs});
 }
 
-// Its answer is complete; the request behind it is the first now. Its coroutine is still running.
+// Completes the request's answer and makes the request behind it the first in flight. The coroutine of the
+// finished request is still running.
 void ClientSession::finishRequest(Requests::iterator self) {
   finishedRequests_.splice(finishedRequests_.end(), requests_, self);
   pg::addReady(self->reply->text);
   self->reply->isComplete = true;
   self->memory.release();
-  listener_.pipeliningLimits_.leave(self->ticket);
+  listener_.pipeliningLimits_.release(self->ticket);
   if (!requests_.empty()) listener_.pipeliningLimits_.onBecameFirst(requests_.front().ticket);
 }
 
@@ -142,14 +146,14 @@
 
 void ClientSession::abortConnection() {
   clientGone_.cancel();
-  socket_->shutdown(); // whoever reads sees the end
+  socket_->shutdown(); // a pending read returns the end of the connection
 }
 
-// One coroutine writes at a time; what becomes complete meanwhile goes with its next batch.
+// Only one coroutine writes at a time. Answers that are completed meanwhile are written in its next batch.
 net::Task<ClientState> ClientSession::flush() {
   if (isWriting_) co_return clientGone_.isCancelled() ? ClientState::gone : ClientState::connected;
   isWriting_ = true;
-  while (replies_.mayWrite()) {
+  while (replies_.hasBytesToWrite()) {
     const auto batch = replies_.takeComplete();
     if (clientGone_.isCancelled()) continue;
     beingWritten_ = &batch;
@@ -157,24 +161,24 @@
     const auto error = co_await socket_->write(batch.text, deadline);
     beingWritten_ = nullptr;
     if (error != ErrorCode::none) abortConnection();
-    progressed_.notify();
+    answerProgress_.notify();
   }
   isWriting_ = false;
   onAllWritten();
-  progressed_.notify();
+  answerProgress_.notify();
   co_return clientGone_.isCancelled() ? ClientState::gone : ClientState::connected;
 }
 
 net::Task<ClientState> ClientSession::drain() {
   auto client = co_await flush();
   while (isWriting_ || !requests_.empty()) {
-    co_await listener_.sched_.wait(progressed_);
+    co_await listener_.sched_.wait(answerProgress_);
     client = co_await flush();
   }
   co_return client;
 }
 
-// With nothing in flight the connection is idle, and may be closed.
+// Marks the connection as idle, or closes it if that was requested, once nothing is in flight.
 void ClientSession::onAllWritten() {
   if (!requests_.empty()) return;
   if (closeRequest_ != CloseRequest::none) requestCloseNow();
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-// Parts of the descriptor budget, as divisors.
-constexpr int kReserveDivisor = 4;         // stays with endpoints and control connections
-constexpr int kSufficientDivisor = 3;      // so much must be available again to end a shortage
-constexpr int kRequestCapacityDivisor = 3; // for clients' requests, and as much for attempts
-constexpr int kLastReserveDivisor = 12;    // is not even spent on rejecting clients
-
-constexpr Nanoseconds kAcceptRetryInterval = kSecond / 10; // where no descriptor is left
-// How long a connection must have been in its list before it is closed for a new one.
-constexpr Nanoseconds kMinClosingTime = kSecond / 10;      // for the client to see the connection's end
-constexpr Nanoseconds kMinIdleTime = 2 * kSecond;          // as the protocol asks
-constexpr Nanoseconds kMinTimeUnderShortage = kSecond / 4; // where the new one would be rejected otherwise
-constexpr Nanoseconds kMaxIdleTime = 10 * kSecond;         // then it is closed in any case
-constexpr Nanoseconds kMaxUnusedIdleTime = 2 * kSecond;    // likewise, where it has never been used
+// Fractions of the descriptor budget, as divisors.
+constexpr int kReserveDivisor = 4;         // kept free for endpoint and control connections
+constexpr int kShortageEndDivisor = 3;     // a shortage ends when more than this fraction is free
+constexpr int kRequestCapacityDivisor = 3; // for client requests; upstream attempts need as many again
+constexpr int kMinReserveDivisor = 12;     // not even used to reject a client
+
+constexpr Nanoseconds kAcceptRetryInterval = kSecond / 10; // while no descriptor is free
+// Minimum time that a connection stays in its list before it may be closed for a new one.
+constexpr Nanoseconds kMinClosingTime = kSecond / 10;      // lets the client see the end of the connection
+constexpr Nanoseconds kMinIdleTime = 2 * kSecond;          // required by the service's protocol
+constexpr Nanoseconds kMinTimeUnderShortage = kSecond / 4; // if a new connection would be rejected otherwise
+// Time after which an idle connection is closed in any case.
+constexpr Nanoseconds kMaxIdleTime = 10 * kSecond;
+constexpr Nanoseconds kMaxUnusedIdleTime = 2 * kSecond; // if the connection has never been used
 constexpr Nanoseconds kSweepInterval = kSecond / 4;
-constexpr Nanoseconds kFaultLogInterval = kSecond;
-constexpr int kMaxEndedInBacklog = 1000; // connections of the backlog that ended in it
+constexpr Nanoseconds kClientErrorLogInterval = kSecond;
+constexpr int kMaxBacklogFailures = 1000; // backlog connections that their clients have closed already
 
 net::Task<> runSession(std::unique_ptr<ClientSession> session, ConnectionDecision decision) {
   co_await session->run(decision);
@@ -40,77 +41,83 @@
       socket_(net::listenTcp(sched, budget, address)),
       pipeliningLimits_(budget.limit() / kRequestCapacityDivisor) {}
 
-// Guards the descriptors that endpoints and control connections need. Where no connection can be closed for
-// the new one, that is rejected at once: in the backlog its request would wait in vain.
-bool Listener::hasDescriptorFor() {
+// Returns whether a connection that was just accepted can be served, and closes an idle one for it if needed.
+// Part of the descriptors is kept free for endpoint and control connections. If no connection can be closed
+// for the new one, the new one is rejected at once: left in the backlog, its request would time out.
+bool Listener::ensureDescriptorForConnection() {
   updateShortage();
-  const bool isEnough = budget_.available() > budget_.limit() / kReserveDivisor;
-  // Requests use a third of the descriptors at most, so beyond that some connection has none in flight, and
-  // occupies a descriptor that a client with one may need.
-  const bool isManyClients = static_cast<int>(all_.size()) > budget_.limit() / kRequestCapacityDivisor;
-  const bool hasClosed = (isManyClients || !isEnough) && closeOneIdle() == Reclaim::closedOne;
-  return isEnough || hasClosed;
+  const bool hasReserve = budget_.available() > budget_.limit() / kReserveDivisor;
+  // At most a third of the descriptors is used by connections with requests in flight. If there are more
+  // connections, some of them are idle and occupy descriptors that active clients may need.
+  const bool hasManyClients = static_cast<int>(sessions_.size()) > budget_.limit() / kRequestCapacityDivisor;
+  const bool hasClosedIdle = (hasManyClients || !hasReserve) && closeOneIdle() == Reclaim::closedOne;
+  return hasReserve || hasClosedIdle;
 }
 
-// Logs the beginning and the end of a shortage, with a distance between the two.
+// Logs the start and the end of a descriptor shortage. The two thresholds differ, so that the state does not
+// change back and forth.
 void Listener::updateShortage() {
-  const int divisor = isShortOfDescriptors_ ? kSufficientDivisor : kReserveDivisor;
+  const int divisor = isShortOfDescriptors_ ? kShortageEndDivisor : kReserveDivisor;
   const bool isShort = budget_.available() <= budget_.limit() / divisor;
   if (isShort == isShortOfDescriptors_) return;
   isShortOfDescriptors_ = isShort;
-  log_.info(isShort ? "descriptors are short, idle clients are closed" : "descriptors suffice again",
+  log_.info(isShort ? "few file descriptors are free; closing idle client connections"
+                    : "enough file descriptors are free again",
             {{"left", budget_.available()}, {"of", budget_.limit()}});
 }
 
-// Guards connections with a request against those without one: whoever has been idle for as long as the
-// protocol asks goes first, then who has not used it yet, then whoever is idle, as a closed connection is
-// opened again and a rejected request is lost. Could harm where many clients ask by turns, each on its own
-// connection: they connect anew.
+// Closes one connection without a request, so that a client with a request is not rejected: a client reopens
+// a closed connection, but a rejected request is lost. Closing connections are preferred, then connections
+// that have been idle for the time the protocol requires, then unused ones, then any idle one. Limitation: if
+// many clients send requests in turn, each on its own connection, they often have to reconnect.
 Listener::Reclaim Listener::closeOneIdle() {
-  const auto closeFirstOf = [&](std::list<ClientSession *> &list, Nanoseconds minimumTime) {
-    if (list.empty() || sched_.now() - list.front()->listedSince() < minimumTime) return false;
+  const auto closeOldestOf = [&](std::list<ClientSession *> &list, Nanoseconds minTime) {
+    if (list.empty() || sched_.now() - list.front()->listedSince() < minTime) return false;
     list.front()->closeIdle();
     return true;
   };
-  const bool hasClosed = closeFirstOf(closing_, kMinClosingTime) || closeFirstOf(idle_, kMinIdleTime) ||
-                         closeFirstOf(unused_, kMinTimeUnderShortage) ||
-                         closeFirstOf(idle_, kMinTimeUnderShortage);
-  return hasClosed ? Reclaim::closedOne : Reclaim::nothingToClose;
+  const bool hasClosedIdle = closeOldestOf(closing_, kMinClosingTime) || closeOldestOf(idle_, kMinIdleTime) ||
+                             closeOldestOf(unused_, kMinTimeUnderShortage) ||
+                             closeOldestOf(idle_, kMinTimeUnderShortage);
+  return hasClosedIdle ? Reclaim::closedOne : Reclaim::nothingToClose;
 }
 
-// Guards descriptors and memory against clients that ask once, or never, and keep their connection.
+// Frees the descriptors and memory of clients that send one request, or none, and keep their connection open.
 net::Task<> Listener::sweepIdleConnections() {
   for (;;) {
     co_await sched_.sleep(kSweepInterval);
     for (auto it = idle_.begin(); it != idle_.end();) {
-      auto *session = *it++; // closing it removes it from the list
+      auto *session = *it++; // closeIdle() removes the session from the list
       const Nanoseconds idleTime = sched_.now() - session->listedSince();
       if (idleTime >= (session->hasBeenUsed() ? kMaxIdleTime : kMaxUnusedIdleTime)) session->closeIdle();
     }
   }
 }
 
-// Guards the log against clients that send unusable commands by the thousand.
-void Listener::countFault(std::string_view what) {
-  ++unloggedFaults_;
-  if (sched_.now() - faultsLoggedAt_ < kFaultLogInterval) return;
-  log_.warning("clients sent messages that can't be used", {{"count", unloggedFaults_}, {"latest", what}});
-  unloggedFaults_ = 0;
-  faultsLoggedAt_ = sched_.now();
+// Logs at most one line per interval, as a client may send thousands of invalid messages.
+void Listener::countClientError(std::string_view what) {
+  ++unloggedClientErrors_;
+  if (sched_.now() - clientErrorsLoggedAt_ < kClientErrorLogInterval) return;
+  log_.warning("clients sent invalid or unsupported messages",
+               {{"count", unloggedClientErrors_}, {"latest", what}});
+  unloggedClientErrors_ = 0;
+  clientErrorsLoggedAt_ = sched_.now();
 }
 
-// The session is in the list of all from here on: a shutdown in the same round finds it there.
+// Adds the session to sessions_ before its coroutine runs, so that a shutdown in the same scheduler round
+// finds it.
 void Listener::startSession(std::unique_ptr<net::Socket> accepted) {
-  const auto decision = hasDescriptorFor() ? ConnectionDecision::serve : ConnectionDecision::reject;
+  const auto decision = ensureDescriptorForConnection() ? ConnectionDecision::serve
+                                                        : ConnectionDecision::reject;
   auto session = std::make_unique<ClientSession>(*this, std::move(accepted), ++sessionCount_);
   sched_.spawn(runSession(std::move(session), decision));
 }
 
 net::Task<> Listener::acceptConnections() {
-  while (!acceptEnd_.isCancelled()) {
-    if (budget_.available() <= budget_.limit() / kLastReserveDivisor) {
+  while (!acceptStop_.isCancelled()) {
+    if (budget_.available() <= budget_.limit() / kMinReserveDivisor) {
       closeOneIdle();
-      const net::Deadline retry{sched_.now() + kAcceptRetryInterval, &acceptEnd_};
+      const net::Deadline retry{sched_.now() + kAcceptRetryInterval, &acceptStop_};
       co_await sched_.wait(budget_.released, retry);
       continue;
     }
@@ -118,24 +125,25 @@
     if (accepted) {
       startSession(std::move(*accepted));
     } else if (accepted.failure().cause == ErrorCode::timedOut) {
-      const net::Deadline deadline{sched::kNever, &acceptEnd_};
+      const net::Deadline deadline{sched::kNever, &acceptStop_};
       co_await socket_->waitReadable(deadline);
     } else if (accepted.failure().cause == ErrorCode::noDescriptorLeft) {
-      log_.warning("no descriptor left for a client");
+      log_.warning("cannot accept a client connection: no file descriptor left");
       if (closeOneIdle() == Reclaim::nothingToClose) pool_.closeOldestIdle();
-      co_await sched_.sleep(kAcceptRetryInterval, &acceptEnd_);
+      co_await sched_.sleep(kAcceptRetryInterval, &acceptStop_);
     } else {
-      co_await sched_.sleep(kMillisecond, &acceptEnd_); // that client has gone already
+      co_await sched_.sleep(kMillisecond, &acceptStop_); // the client has closed the connection already
     }
   }
 }
 
-// Guards requests on connections that the system has accepted and this instance has not: closing the
-// listening socket resets them. Where descriptors are short, sessions that end free some.
-net::Task<> Listener::emptyBacklog() {
-  for (int ended = 0; ended < kMaxEndedInBacklog;) {
+// Accepts the connections that the kernel has accepted and this instance has not: closing the listening
+// socket would reset them. During a descriptor shortage it waits for sessions that end and free their
+// descriptors.
+net::Task<> Listener::acceptBacklog() {
+  for (int failures = 0; failures < kMaxBacklogFailures;) {
     auto error = ErrorCode::noDescriptorLeft;
-    if (budget_.available() > budget_.limit() / kLastReserveDivisor) {
+    if (budget_.available() > budget_.limit() / kMinReserveDivisor) {
       auto accepted = net::tryAccept(sched_, budget_, *socket_);
       if (accepted) {
         startSession(std::move(*accepted));
@@ -145,7 +153,7 @@
     }
     if (error == ErrorCode::timedOut) co_return;
     if (error != ErrorCode::noDescriptorLeft) {
-      ++ended; // that client has gone already
+      ++failures; // the client has closed the connection already
       continue;
     }
     closeAllWhenAnswered();
@@ -156,17 +164,18 @@
 }
 
 void Listener::closeAllWhenAnswered() {
-  for (auto *session : all_) session->closeWhenAnswered();
+  for (auto *session : sessions_) session->closeWhenAnswered();
 }
 
 net::Task<> Listener::shutDown() {
   shutdown_.begin(sched_.now());
-  co_await sched_.sleep(shutdown_.acceptsUntil() - sched_.now());
-  acceptEnd_.cancel();
-  co_await emptyBacklog();
-  socket_.reset(); // right behind the last look at the backlog: what arrives between the two is reset
+  co_await sched_.sleep(shutdown_.acceptDeadline() - sched_.now());
+  acceptStop_.cancel();
+  co_await acceptBacklog();
+  // Directly after the last check of the backlog, because a connection that arrives in between is reset.
+  socket_.reset();
   closeAllWhenAnswered();
-  while (!all_.empty()) co_await sched_.wait(sessionEnded_);
+  while (!sessions_.empty()) co_await sched_.wait(sessionEnded_);
 }
 
 } // namespace myrtlehead::downstream
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -1,4 +1,4 @@
-// The clients' side: accepts connections, serves their queries, and shuts down gracefully.
+// The client-facing side: accepts connections, serves their queries, and shuts down gracefully.
 #pragma once
 
 #include "base/net/memory_budget.h"
@@ -17,9 +17,9 @@
 
 class Listener {
 public:
-  // `routeTimeouts`: by the position in `routes`, how long a client waits for an answer at most.
-  // `messageMemory`: bytes for large messages of all clients. Throws std::system_error where `address` can't
-  // be bound.
+  // `routeTimeouts` holds, for each index in `routes`, the longest time that a client waits for an answer.
+  // `messageMemory` is the number of bytes available for large messages of all clients. Throws
+  // std::system_error if `address` can't be bound.
   Listener(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
            upstream::ConnectionPool &pool, log::Log &log, net::Address address,
            std::vector<std::string> routes, std::vector<Nanoseconds> routeTimeouts,
@@ -27,24 +27,25 @@
 
   // Accepts connections until shutDown() stops it.
   net::Task<> acceptConnections();
-  // Closes what has been idle too long, for as long as the instance runs.
+  // Periodically closes connections that have been idle too long. Never returns.
   net::Task<> sweepIdleConnections();
-  // Shuts down: new connections and requests are still accepted for a while, and then those in the backlog;
-  // after that idle connections are closed, the others as they are answered. Returns when none is left.
+  // Shuts down. New connections and requests are still accepted for a while, then those in the backlog. After
+  // that idle connections are closed at once and the others as soon as they are answered. Returns when no
+  // connection is left.
   net::Task<> shutDown();
   net::Address address() const { return net::localAddress(*socket_); }
 
 private:
   friend class ClientSession;
-  // Whether one of the connections could be closed for a new one.
+  // Whether an idle connection could be closed to free its descriptor for a new connection.
   enum class Reclaim { closedOne, nothingToClose };
 
-  bool hasDescriptorFor(); // a connection that was just accepted
+  bool ensureDescriptorForConnection();
   void updateShortage();
   Reclaim closeOneIdle();
-  void countFault(std::string_view what);
+  void countClientError(std::string_view what);
   void startSession(std::unique_ptr<net::Socket> accepted);
-  net::Task<> emptyBacklog();
+  net::Task<> acceptBacklog();
   void closeAllWhenAnswered();
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
@@ -53,21 +54,21 @@
   log::Log &log_;
   std::vector<std::string> routes_;
   std::vector<Nanoseconds> routeTimeouts_;
-  net::MemoryBudget messageMemory_; // for large messages
+  net::MemoryBudget messageMemory_; // for large messages of all clients
   std::unique_ptr<net::Socket> socket_;
-  sched::CancellationToken acceptEnd_; // ends acceptConnections()
+  sched::CancellationToken acceptStop_; // ends acceptConnections()
   graceful_shutdown::GracefulShutdown shutdown_;
   bool isShortOfDescriptors_ = false;
-  std::uint32_t sessionCount_ = 0; // since the start
-  std::list<ClientSession *> all_;
-  // Connections that may be closed, the one that may be closed for the longest time first.
-  std::list<ClientSession *> closing_;         // the client has been shown the connection's end
-  std::list<ClientSession *> unused_;          // nothing usable has been asked yet
-  std::list<ClientSession *> idle_;            // between requests
-  std::set<std::string, std::less<>> openIds_; // of the requests in flight
+  std::uint32_t sessionCount_ = 0; // sessions started since the process started
+  std::list<ClientSession *> sessions_;
+  // Connections that may be closed for new ones. Each list is in the order in which they were added.
+  std::list<ClientSession *> closing_; // shut down for writing; the client has not closed its end yet
+  std::list<ClientSession *> unused_;  // no usable statement has been received yet
+  std::list<ClientSession *> idle_;    // no request is in flight
+  std::set<std::string, std::less<>> openRequestIds_; // ids of the requests in flight
   pipelining_limits::PipeliningLimits pipeliningLimits_;
-  unsigned unloggedFaults_ = 0; // of clients
-  Nanoseconds faultsLoggedAt_ = 0;
+  unsigned unloggedClientErrors_ = 0; // since the latest log line about client errors
+  Nanoseconds clientErrorsLoggedAt_ = 0;
   sched::Event sessionEnded_;
 };
 
--- a/src/downstream/reply_queue.cpp
+++ b/src/downstream/reply_queue.cpp
@@ -7,28 +7,28 @@
 
 bool hasId(const std::deque<PendingReply> &replies, std::string_view id) {
   return std::any_of(replies.begin(), replies.end(),
-                     [id](const PendingReply &reply) { return reply.id.is(id); });
+                     [id](const PendingReply &reply) { return reply.id.equals(id); });
 }
 
-Batch ReplyQueue::takeComplete() {
-  Batch out;
-  out.text = std::exchange(text_, {});
+WriteBatch ReplyQueue::takeComplete() {
+  WriteBatch out;
+  out.text = std::exchange(leadingText_, {});
   while (!replies_.empty() && replies_.front().isComplete) {
     auto &reply = replies_.front();
     if (out.text.empty())
       out.text = std::move(reply.text);
     else
       out.text += reply.text;
-    out.text += reply.after;
+    out.text += reply.trailingText;
     out.replies.push_back(std::move(reply));
     replies_.pop_front();
   }
   return out;
 }
 
-std::size_t ReplyQueue::bytes() const {
-  std::size_t out = text_.size();
-  for (const auto &reply : replies_) out += reply.text.size() + reply.after.size();
+std::size_t ReplyQueue::byteCount() const {
+  std::size_t out = leadingText_.size();
+  for (const auto &reply : replies_) out += reply.text.size() + reply.trailingText.size();
   return out;
 }
 
--- a/src/downstream/reply_queue.h
+++ b/src/downstream/reply_queue.h
@@ -1,5 +1,5 @@
-// The answers of one connection, in the order of its commands: an answer that is complete is kept until all
-// those ahead of it are. Plain state, no I/O.
+// The answers of one client connection, in the order of its commands. A complete answer is kept until all
+// answers ahead of it are complete. No I/O.
 #pragma once
 
 #include "base/net/memory_budget.h"
@@ -12,65 +12,70 @@
 
 namespace myrtlehead::downstream {
 
-// The ids of all requests that are open, of all connections.
-using OpenIds = std::set<std::string, std::less<>>;
+// The ids of the open requests of all connections.
+using OpenRequestIds = std::set<std::string, std::less<>>;
 
-// An id that is open from its request's start until its answer has been written; removed when it is
-// destroyed.
-class OpenId {
+// Holds a request id open from the start of the request until its answer has been written. The destructor
+// removes the id from the set.
+class OpenRequestId {
 public:
-  OpenId() = default;
-  OpenId(OpenIds &all, OpenIds::iterator position) : all_(&all), position_(position) {}
-  OpenId(OpenId &&other) noexcept : all_(std::exchange(other.all_, nullptr)), position_(other.position_) {}
-  OpenId &operator=(OpenId &&other) noexcept {
-    std::swap(all_, other.all_);
+  OpenRequestId() = default;
+  OpenRequestId(OpenRequestIds &openIds, OpenRequestIds::iterator position)
+      : openIds_(&openIds), position_(position) {}
+  OpenRequestId(OpenRequestId &&other) noexcept
+      : openIds_(std::exchange(other.openIds_, nullptr)), position_(other.position_) {}
+  OpenRequestId &operator=(OpenRequestId &&other) noexcept {
+    std::swap(openIds_, other.openIds_);
     std::swap(position_, other.position_);
     return *this;
   }
-  ~OpenId() {
-    if (all_ != nullptr) all_->erase(position_);
+  ~OpenRequestId() {
+    if (openIds_ != nullptr) openIds_->erase(position_);
   }
 
-  bool is(std::string_view id) const { return all_ != nullptr && *position_ == id; }
+  bool equals(std::string_view id) const { return openIds_ != nullptr && *position_ == id; }
 
 private:
-  OpenIds *all_ = nullptr;
-  OpenIds::iterator position_;
+  OpenRequestIds *openIds_ = nullptr;
+  OpenRequestIds::iterator position_;
 };
 
-// The answer to one request, and what follows it up to the next request's.
+// The answer to one request, and the bytes that follow it up to the next request's answer.
 struct PendingReply {
   bool isComplete = false;
   std::string text;
-  std::string after;             // answers to messages behind the request that no endpoint is asked for
-  net::MemoryReservation memory; // of a large answer, until it has been written
-  OpenId id;
+  std::string trailingText;      // answers to later messages that are not forwarded to an endpoint
+  net::MemoryReservation memory; // reserved for a large answer until it has been written
+  OpenRequestId id;
 };
 
-// Whether one of them answers the request with this id.
+// Whether one of the replies answers the request with this id.
 bool hasId(const std::deque<PendingReply> &replies, std::string_view id);
 
-// Bytes to be written, with what is released once that is done.
-struct Batch {
+// Bytes to be written, and the replies whose memory and ids are released after the write.
+struct WriteBatch {
   std::string text;
   std::deque<PendingReply> replies;
 };
 
 class ReplyQueue {
 public:
-  // The reply to a request that is started. It keeps its address until takeComplete() takes it.
-  PendingReply &add() { return replies_.emplace_back(); }
-  // Where the answer to a message is appended that no endpoint is asked for.
-  std::string &tail() { return replies_.empty() ? text_ : replies_.back().after; }
-  bool mayWrite() const { return !text_.empty() || (!replies_.empty() && replies_.front().isComplete); }
-  // Removes all that may be written.
-  Batch takeComplete();
+  // Adds the reply of a request that is started. Its address is stable until takeComplete() removes it.
+  PendingReply &addReply() { return replies_.emplace_back(); }
+  // The string to which the answer to a message is appended if the message is not forwarded to an endpoint.
+  std::string &tail() { return replies_.empty() ? leadingText_ : replies_.back().trailingText; }
+  // Whether takeComplete() would return any bytes.
+  bool hasBytesToWrite() const {
+    return !leadingText_.empty() || (!replies_.empty() && replies_.front().isComplete);
+  }
+  // Removes and returns everything up to the first incomplete reply.
+  WriteBatch takeComplete();
   bool hasId(std::string_view id) const { return downstream::hasId(replies_, id); }
-  // Of all answers that it contains.
-  std::size_t bytes() const;
+  // The total size of all answers in the queue, in bytes.
+  std::size_t byteCount() const;
 
 private:
-  std::string text_; // ahead of all replies
+  std::string leadingText_; // precedes all replies
   std::deque<PendingReply> replies_;
 };
 
--- a/src/policy/graceful_shutdown.h
+++ b/src/policy/graceful_shutdown.h
@@ -1,6 +1,6 @@
-// What the clients' side still does at which time after it was asked to shut down. No I/O; time is an
-// argument. The platform still sends new connections and requests for 0.4 s, and what arrives later than
-// 0.7 s is not promised an answer before the process is killed.
+// Deadlines of a graceful shutdown of the client-facing side. The platform keeps sending new connections and
+// requests for 0.4 s after it has asked for the shutdown. A request that arrives more than 0.7 s after that
+// moment is not guaranteed an answer before the process is killed. No I/O; time is an argument.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,28 @@
 
 class GracefulShutdown {
 public:
-  // The first call counts.
+  // Starts the shutdown at `now`. Further calls have no effect.
   void begin(Nanoseconds now) {
-    if (!isInProgress()) begunAt_ = now;
+    if (!isInProgress()) startedAt_ = now;
   }
-  bool isInProgress() const { return begunAt_ != kNotBegun; }
-  // Until then connections are accepted as before; after that the backlog is emptied, the listener closes,
-  // and idle connections are closed. Only while it is in progress.
-  Nanoseconds acceptsUntil() const { return begunAt_ + kAcceptTime; }
-  // Until then the rest of a message is awaited of which a part has come. Only while it is in progress.
-  Nanoseconds partialMessageDeadline() const { return begunAt_ + kPartialMessageTime; }
-  // Whether a request that has been read may be started: one behind others on its connection may come up too
-  // late to be answered, and its client is told that a retry is harmless.
+  bool isInProgress() const { return startedAt_ != kNotStarted; }
+  // Connections are accepted as usual until this time. After it, the connections in the backlog are accepted,
+  // the listening socket is closed, and idle connections are closed. Valid only during a shutdown.
+  Nanoseconds acceptDeadline() const { return startedAt_ + kAcceptDuration; }
+  // The rest of a partly received message is awaited until this time. Valid only during a shutdown.
+  Nanoseconds partialMessageDeadline() const { return startedAt_ + kPartialMessageDuration; }
+  // Whether a request that has been read may be started. A request that waited behind others on its
+  // connection may start too late to be answered; it is rejected with an error that allows a retry.
   bool mayStartRequest(Nanoseconds now) const {
-    return !isInProgress() || now < begunAt_ + kStartRequestTime;
+    return !isInProgress() || now < startedAt_ + kStartRequestDuration;
   }
 
 private:
-  static constexpr Nanoseconds kNotBegun = std::numeric_limits<Nanoseconds>::max();
-  static constexpr Nanoseconds kAcceptTime = 500 * kMillisecond;
-  static constexpr Nanoseconds kPartialMessageTime = 650 * kMillisecond;
-  static constexpr Nanoseconds kStartRequestTime = 700 * kMillisecond;
-  Nanoseconds begunAt_ = kNotBegun;
+  static constexpr Nanoseconds kNotStarted = std::numeric_limits<Nanoseconds>::max();
+  static constexpr Nanoseconds kAcceptDuration = 500 * kMillisecond;
+  static constexpr Nanoseconds kPartialMessageDuration = 650 * kMillisecond;
+  static constexpr Nanoseconds kStartRequestDuration = 700 * kMillisecond;
+  Nanoseconds startedAt_ = kNotStarted;
 };
 
 } // namespace myrtlehead::graceful_shutdown
--- a/src/policy/pipelining_limits.cpp
+++ b/src/policy/pipelining_limits.cpp
@@ -6,8 +6,10 @@
 
 constexpr std::size_t kMaxRequestsPerConnection = 128;
 constexpr std::size_t kMaxAnswerBytesPerConnection = 256 * 1024;
-constexpr std::size_t kMaxWaitingPerCapacity = 2; // requests that wait, of all connections
-constexpr Nanoseconds kAdmissionWaitDivisor = 2;  // of the client's timeout: the part spent waiting at most
+// Maximum number of waiting requests of all connections, as a multiple of the capacity.
+constexpr std::size_t kMaxWaitingPerCapacity = 2;
+// A request waits for admission for at most 1/kAdmissionWaitDivisor of its client's timeout.
+constexpr Nanoseconds kAdmissionWaitDivisor = 2;
 
 } // namespace
 
@@ -16,7 +18,7 @@
 }
 
 bool PipeliningLimits::mayStartMessage(const ConnectionUsage &usage) const {
-  if (usage.bytes >= kMaxAnswerBytesPerConnection) return false;
+  if (usage.answerBytes >= kMaxAnswerBytesPerConnection) return false;
   if (usage.requests == 0) return true;
   const auto maxWaiting = kMaxWaitingPerCapacity * static_cast<std::size_t>(capacity_);
   return usage.requests < kMaxRequestsPerConnection && waiting_.size() < maxWaiting;
@@ -27,24 +29,24 @@
   ++admittedCount_;
 }
 
-void PipeliningLimits::enter(AdmissionTicket &ticket, RequestPosition position) {
+void PipeliningLimits::requestAdmission(AdmissionTicket &ticket, RequestPosition position) {
   const bool hasCapacity = waiting_.empty() && admittedCount_ < capacity_;
   if (position == RequestPosition::first || hasCapacity) return admit(ticket);
   ticket.state = AdmissionTicket::waiting;
-  ticket.queueAt = waiting_.insert(waiting_.end(), &ticket);
+  ticket.queuePosition = waiting_.insert(waiting_.end(), &ticket);
 }
 
 void PipeliningLimits::onBecameFirst(AdmissionTicket &ticket) {
   if (ticket.state != AdmissionTicket::waiting) return;
-  waiting_.erase(ticket.queueAt);
+  waiting_.erase(ticket.queuePosition);
   admit(ticket);
   if (ticket.onAdmitted) ticket.onAdmitted();
 }
 
-void PipeliningLimits::leave(AdmissionTicket &ticket) {
+void PipeliningLimits::release(AdmissionTicket &ticket) {
   const auto state = ticket.state;
-  ticket.state = AdmissionTicket::outside;
-  if (state == AdmissionTicket::waiting) waiting_.erase(ticket.queueAt);
+  ticket.state = AdmissionTicket::notRequested;
+  if (state == AdmissionTicket::waiting) waiting_.erase(ticket.queuePosition);
   if (state != AdmissionTicket::admitted) return;
   --admittedCount_;
   if (waiting_.empty() || admittedCount_ >= capacity_) return;
--- a/src/policy/pipelining_limits.h
+++ b/src/policy/pipelining_limits.h
@@ -1,5 +1,5 @@
-// Limits on pipelined requests: how much one connection may have in flight, and how many requests of all
-// connections may be attempted at the same time. No I/O; time is an argument.
+// Limits on pipelined requests: how much a single connection may have in flight, and how many requests of all
+// connections may be attempted concurrently. No I/O; time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -11,45 +11,47 @@
 
 using Nanoseconds = std::int64_t;
 
-// What a connection occupies while its requests wait for answers, or its answers wait to be written.
+// What a connection currently has in flight.
 struct ConnectionUsage {
-  std::size_t requests = 0; // started and not yet answered completely
-  std::size_t bytes = 0;    // of answers not yet written
+  std::size_t requests = 0;    // requests that are started and not completely answered
+  std::size_t answerBytes = 0; // bytes of answers that are not written yet
 };
 
-// Until when a request behind others of its connection may wait to be admitted; `clientTimeout`: how long its
-// client waits for the answer from `arrivedAt` on. Past that it is rejected, while its client still has the
-// other half of that time for a retry elsewhere.
+// Returns until when a request behind others on its connection may wait for admission. `clientTimeout` is how
+// long the client waits for the answer, counted from `arrivedAt`. A request that is not admitted by then is
+// rejected, which leaves its client half of the timeout for a retry elsewhere.
 Nanoseconds admissionDeadline(Nanoseconds arrivedAt, Nanoseconds clientTimeout);
 
-// One request's right to be attempted. It must not move while PipeliningLimits refers to it.
+// The admission state of one request. The ticket must not move while PipeliningLimits refers to it.
 struct AdmissionTicket {
-  enum State { outside, waiting, admitted } state = outside;
-  std::function<void()> onAdmitted;               // called when it is admitted after a wait
-  std::list<AdmissionTicket *>::iterator queueAt; // while it waits
+  enum State { notRequested, waiting, admitted } state = notRequested;
+  std::function<void()> onAdmitted;                     // called when the request is admitted after a wait
+  std::list<AdmissionTicket *>::iterator queuePosition; // valid only in state `waiting`
 };
 
 // Whether a request is the first in flight on its connection.
 enum class RequestPosition { first, behindOthers };
 
-// Bounds the requests that are attempted at the same time. The first request in flight of each connection is
-// always admitted, as the number of connections is bounded by itself; those behind it take what is left of
-// the capacity, in the order in which they came.
+// Bounds the number of requests that are attempted concurrently. The first request in flight on a connection
+// is always admitted, because the number of connections is bounded separately. Requests behind the first are
+// admitted in order of arrival while capacity is left.
 class PipeliningLimits {
 public:
-  // `capacity`: of requests that are attempted at the same time.
+  // `capacity` is the maximum number of requests attempted concurrently.
   explicit PipeliningLimits(int capacity) : capacity_(capacity) {}
 
-  // Whether a connection may start on a further message. A client that reads nothing, or that pipelines
-  // without end, is not read on until some of its answers have been written; nor is one that has requests in
-  // flight while many others wait. A connection with nothing in flight always may.
+  // Whether a connection may start another message. A connection is not read further while too many bytes of
+  // its answers are unwritten, while it has too many requests in flight, or while it has requests in flight
+  // and too many requests of all connections wait for admission. A connection with no requests in flight and
+  // no unwritten answers may always start a message.
   bool mayStartMessage(const ConnectionUsage &usage) const;
-  // Admits the request, or lets it wait.
-  void enter(AdmissionTicket &ticket, RequestPosition position);
-  // The requests ahead of it on its connection are answered: it is admitted, if it still waits.
+  // Admits the request if capacity is free or it is the first on its connection; otherwise queues it.
+  void requestAdmission(AdmissionTicket &ticket, RequestPosition position);
+  // Admits the request if it still waits, because all requests ahead of it on its connection are answered.
   void onBecameFirst(AdmissionTicket &ticket);
-  // It is answered, rejected or abandoned: the next one that waits is admitted.
-  void leave(AdmissionTicket &ticket);
+  // Gives the ticket back after the request was answered, rejected or abandoned, and admits the next request
+  // in the queue if capacity is free.
+  void release(AdmissionTicket &ticket);
   int admittedCount() const { return admittedCount_; }
   std::size_t waitingCount() const { return waiting_.size(); }
 
@@ -57,7 +59,7 @@
   void admit(AdmissionTicket &ticket);
   int capacity_;
   int admittedCount_ = 0;
-  std::list<AdmissionTicket *> waiting_;
+  std::list<AdmissionTicket *> waiting_; // in order of arrival
 };
 
 } // namespace myrtlehead::pipelining_limits
