--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Nanoseconds kEndpointRetention = 120 * kSecond; // twice the longest route timeout by default
-constexpr std::uint16_t kFingerprints = 0xffff;
+constexpr Nanoseconds kEndpointRetention = 120 * kSecond; // twice the default of the longest route timeout
+constexpr std::uint16_t kFingerprintCount = 0xffff;
 
 std::uint16_t fingerprintOf(const std::string &name) {
-  return static_cast<std::uint16_t>(1 + XXH64(name.data(), name.size(), 0) % kFingerprints);
+  return static_cast<std::uint16_t>(1 + XXH64(name.data(), name.size(), 0) % kFingerprintCount);
 }
 
 } // namespace
@@ -30,17 +30,17 @@
       gossip_(policy_.deployment().ownIndex, policy_.deployment().instanceCount, policy_.deployment().zone),
       gossipRandom_(seed + 3), subscription_(policy_.deployment()), subscriptionRandom_(seed + 4) {}
 
-double Router::drawForList() { return drawUniform(subscriptionRandom_); }
+double Router::drawPollJitter() { return drawUniform(subscriptionRandom_); }
 
-double Router::drawForGroups() { return drawUniform(priorityRandom_); }
+double Router::drawForPriorityGroup() { return drawUniform(priorityRandom_); }
 
-AttemptDecision Router::toAttempt(RequestContext &context, const RoutingDecision &decision) {
+AttemptDecision Router::toAttemptDecision(RequestContext &context, const RoutingDecision &decision) {
   isIdle_ = false;
   activity_.notify();
   context.endpoint_ = nullptr;
   switch (decision.action) {
   case RoutingDecision::forward:
-    context.endpoint_ = byEndpoint_.at(decision.endpoint);
+    context.endpoint_ = endpointsByPolicyEndpoint_.at(decision.endpoint);
     context.endpointVersion_ = context.endpoint_->version;
     context.rolloutVersion_ = rolloutVersion_;
     context.build_ = decision.endpoint->info.build;
@@ -58,12 +58,13 @@
 
 sched::Task<AttemptDecision> Router::nextAttempt(RequestContext &context,
                                                  sched::CancellationToken &cancellation) {
-  if (cancellation.isCancelled()) co_return AttemptDecision{}; // nobody waits for it any more
+  if (cancellation.isCancelled()) co_return AttemptDecision{}; // the client is gone
   auto &request = context.request_;
-  if (prioritySelector_.groupCount() > 1) request.priorityGroup = prioritySelector_.select(drawForGroups());
+  if (prioritySelector_.groupCount() > 1)
+    request.priorityGroup = prioritySelector_.select(drawForPriorityGroup());
   for (;;) {
     const auto decision = policy_.route(request, now());
-    if (decision.action != RoutingDecision::wait) co_return toAttempt(context, decision);
+    if (decision.action != RoutingDecision::wait) co_return toAttemptDecision(context, decision);
     const auto woken = co_await sched_.sleep(policy_.recheckDelay(request), &cancellation);
     if (woken == sched::WakeReason::cancelled) co_return AttemptDecision{};
   }
@@ -74,13 +75,13 @@
   const auto last = request.attempts.size() - 1;
   const Nanoseconds duration = now() - request.attempts[last].sentAt;
   const auto &deployment = policy_.deployment();
-  const bool tellsLatency = outcome == Outcome::succeeded || outcome == Outcome::timedOut;
-  if (prioritySelector_.groupCount() > 1 && tellsLatency) {
+  const bool hasLatency = outcome == Outcome::succeeded || outcome == Outcome::timedOut;
+  if (prioritySelector_.groupCount() > 1 && hasLatency) {
     const auto &route = deployment.routes[static_cast<std::size_t>(request.route)];
     const auto objective = std::max<Nanoseconds>(route.latencyObjective, 1);
     prioritySelector_.onAttemptFinished(context.endpoint_->policyEndpoint->info.priorityGroup,
                                         static_cast<double>(duration) / static_cast<double>(objective));
-    request.priorityGroup = prioritySelector_.select(drawForGroups());
+    request.priorityGroup = prioritySelector_.select(drawForPriorityGroup());
   }
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->policyEndpoint;
@@ -88,7 +89,8 @@
     endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
-  return toAttempt(context, policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
+  return toAttemptDecision(context,
+                           policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
 }
 
 bool Router::isStillCurrent(const RequestContext &context) const {
@@ -99,7 +101,7 @@
 
 void Router::onClientDisconnected(RequestContext &context) { policy_.onClientDisconnected(context.request_); }
 
-// Guards a new incarnation of the endpoint against a report of an earlier one.
+// Ignores a report by an earlier incarnation of the endpoint.
 void Router::onLoadReport(const RequestContext &context, const std::vector<float> &values) {
   const auto *endpoint = context.endpoint_;
   if (endpoint != nullptr && endpoint->version == context.endpointVersion_)
@@ -108,12 +110,12 @@
 
 sched::Task<> Router::awaitListPollDue() {
   while (now() < subscription_.nextCallAt())
-    co_await sched_.wait(listRequestChanged_, {subscription_.nextCallAt(), nullptr});
+    co_await sched_.wait(pollScheduleChanged_, {subscription_.nextCallAt(), nullptr});
   subscription_.onCallSent(now());
 }
 
-UpstreamEndpoint &Router::endpointNamed(const std::string &name) {
-  auto &known = byName_[name];
+UpstreamEndpoint &Router::getOrAddEndpoint(const std::string &name) {
+  auto &known = endpointsByName_[name];
   if (known != nullptr) return *known;
   known = &reuseOrAddEndpoint();
   known->name = name;
@@ -123,15 +125,16 @@
   return *known;
 }
 
-// Guards memory against endpoint names that are ever new: an endpoint that no list has had for longer than
-// any request lasts, and that no attempt is in flight at, is reused for the next name.
+// Reuses the entry of an endpoint that has not been listed for longer than any request lasts and has no
+// attempt in flight, so that an endless sequence of new endpoint names does not use up memory.
 UpstreamEndpoint &Router::reuseOrAddEndpoint() {
-  const auto unused = std::find_if(endpoints_.begin(), endpoints_.end(), [&](const UpstreamEndpoint &each) {
-    return !each.isReady && each.policyEndpoint->inFlight == 0 &&
-           now() - each.lastReadyAt >= kEndpointRetention;
-  });
+  const auto unused = std::find_if(endpoints_.begin(), endpoints_.end(),
+                                   [&](const UpstreamEndpoint &endpoint) {
+                                     return !endpoint.isReady && endpoint.policyEndpoint->inFlight == 0 &&
+                                            now() - endpoint.lastReadyAt >= kEndpointRetention;
+                                   });
   if (unused != endpoints_.end()) {
-    byName_.erase(unused->name);
+    endpointsByName_.erase(unused->name);
     *unused->policyEndpoint = Endpoint{};
     ++unused->version;
     return *unused;
@@ -139,7 +142,7 @@
   auto &added = endpoints_.emplace_back();
   added.index = endpoints_.size() - 1;
   added.policyEndpoint = &policy_.addEndpoint();
-  byEndpoint_[added.policyEndpoint] = &added;
+  endpointsByPolicyEndpoint_[added.policyEndpoint] = &added;
   return added;
 }
 
@@ -154,9 +157,9 @@
 
 void Router::onEndpointMergeChanged() { applyUpdates(merge_->mergedEndpoints(now()), true); }
 
-// Guards an endpoint that list and DNS records name differently: it keeps its state where the name that leads
-// changes.
-void Router::adoptLeadingNames(const std::vector<Entry> &entries) {
+// Renames known endpoints whose address is now listed under another name, so that an endpoint keeps its
+// state. The list and DNS records may name the same endpoint differently, and either can determine its name.
+void Router::renameEndpointsByAddress(const std::vector<Entry> &entries) {
   std::unordered_map<std::string_view, UpstreamEndpoint *> byAddress;
   for (auto &endpoint : endpoints_)
     if (endpoint.isReady) byAddress[endpoint.address] = &endpoint;
@@ -166,14 +169,14 @@
     const auto found = byAddress.find(entry.address);
     if (found == byAddress.end() || found->second->name == entry.name) continue;
     auto &endpoint = *found->second;
-    if (byName_.contains(entry.name) || entryNamed.contains(endpoint.name)) continue;
-    byName_.erase(endpoint.name);
+    if (endpointsByName_.contains(entry.name) || entryNamed.contains(endpoint.name)) continue;
+    endpointsByName_.erase(endpoint.name);
     endpoint.name = entry.name;
-    byName_[entry.name] = &endpoint;
+    endpointsByName_[entry.name] = &endpoint;
   }
 }
 
-// Only where there is more than one group.
+// Passes the state of the priority groups to the selector if there is more than one group.
 void Router::observePriorityGroups() {
   if (merge_ == nullptr) return;
   const auto groups = merge_->statistics().priorityGroups;
@@ -189,9 +192,9 @@
 }
 
 void Router::applyUpdates(const std::vector<Entry> &entries, bool isComplete) {
-  if (merge_ != nullptr) adoptLeadingNames(entries);
+  if (merge_ != nullptr) renameEndpointsByAddress(entries);
   for (const auto &entry : entries) {
-    auto &known = endpointNamed(entry.name);
+    auto &known = getOrAddEndpoint(entry.name);
     const auto &before = known.policyEndpoint->info;
     const auto &after = entry.info;
     const bool isChanged = before.build != after.build || before.startedAt != after.startedAt ||
@@ -206,7 +209,7 @@
   }
   policy_.onEndpointListComplete(isComplete);
   for (auto &known : endpoints_) {
-    if (known.isReady && !known.policyEndpoint->isReady) ++known.version; // left out of a complete list
+    if (known.isReady && !known.policyEndpoint->isReady) ++known.version; // missing from a complete list
     known.isReady = known.policyEndpoint->isReady;
     if (known.isReady) known.lastReadyAt = now();
   }
@@ -214,31 +217,31 @@
 }
 
 void Router::onWatchMessage(MessageSource source) {
-  subscription_.onMessage(source, now(), drawForList());
-  listRequestChanged_.notify();
+  subscription_.onMessage(source, now(), drawPollJitter());
+  pollScheduleChanged_.notify();
 }
 
 void Router::onListCallEnded(CallEnd end, OtherCalls others, bool isLast) {
   if (merge_ != nullptr && isLast) merge_->onEndpointListFailed();
-  subscription_.onClosed(end, others, now(), drawForList());
-  listRequestChanged_.notify();
+  subscription_.onClosed(end, others, now(), drawPollJitter());
+  pollScheduleChanged_.notify();
   runDueTasks();
 }
 
 void Router::onDiscoveryAddressChanged() {
-  subscription_.onMoved(now(), drawForList());
-  listRequestChanged_.notify();
+  subscription_.onMoved(now(), drawPollJitter());
+  pollScheduleChanged_.notify();
 }
 
 UpstreamEndpoint *Router::findEndpoint(const std::string &name) {
-  const auto found = byName_.find(name);
-  return found == byName_.end() ? nullptr : found->second;
+  const auto found = endpointsByName_.find(name);
+  return found == endpointsByName_.end() ? nullptr : found->second;
 }
 
 sched::Task<Vote> Router::nextVote() {
-  while (votes_.empty()) co_await sched_.wait(voteQueued_);
-  const auto vote = votes_.front();
-  votes_.pop_front();
+  while (pendingVotes_.empty()) co_await sched_.wait(voteQueued_);
+  const auto vote = pendingVotes_.front();
+  pendingVotes_.pop_front();
   co_return vote;
 }
 
@@ -256,14 +259,15 @@
   runDueTasks();
 }
 
-void Router::onWrongAnswerReport(const std::string &name, Nanoseconds sentAgo) {
-  if (auto *known = findEndpoint(name)) policy_.onWrongAnswerReport(*known->policyEndpoint, sentAgo, now());
+void Router::onWrongAnswerReport(const std::string &name, Nanoseconds timeSinceSent) {
+  if (auto *known = findEndpoint(name))
+    policy_.onWrongAnswerReport(*known->policyEndpoint, timeSinceSent, now());
 }
 
 sched::Task<PeerMessage> Router::nextPeerMessage() {
-  while (messages_.empty()) co_await sched_.wait(messageQueued_);
-  auto message = std::move(messages_.front());
-  messages_.pop_front();
+  while (pendingPeerMessages_.empty()) co_await sched_.wait(messageQueued_);
+  auto message = std::move(pendingPeerMessages_.front());
+  pendingPeerMessages_.pop_front();
   co_return message;
 }
 
@@ -286,30 +290,30 @@
         known.policyEndpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
 }
 
-void Router::updateListTrust() {
+void Router::updateListFreshness() {
   const auto sources = merge_ != nullptr ? ListSources::discoveryAndDns : ListSources::discovery;
   const Nanoseconds since = subscription_.provenSince(now(), sources);
   const Nanoseconds before = policy_.provenSince();
   if (since == kNothingProven && before != since)
-    log_.warning(
-        "no endpoint list since the start and a call for it has failed: nothing is sent until one comes");
+    log_.warning("no endpoint list received since startup and a poll failed: nothing is forwarded until a "
+                 "list arrives");
   else if (since != 0 && before == 0)
-    log_.info("endpoint list out of date: only endpoints that have just served are used");
+    log_.info("endpoint list out of date: forwarding only to endpoints that have answered recently");
   else if (since == 0 && before != 0)
     log_.info("endpoint list up to date again");
   policy_.trustOnlyProvenSince(since);
 }
 
 void Router::runDueTasks() {
-  updateListTrust();
+  updateListFreshness();
   auto due = policy_.runDueTasks(now());
   if (policy_.deployment().hasPeers)
     for (auto &message : gossip_.messagesDue(now(), gossipRandom_))
       due.messages.push_back(std::move(message));
   for (const auto &line : due.logLines) log_.info(line);
-  for (auto &message : due.messages) messages_.push_back(std::move(message));
+  for (auto &message : due.messages) pendingPeerMessages_.push_back(std::move(message));
   if (!due.messages.empty()) messageQueued_.notify();
-  for (const auto &vote : due.votes) votes_.push_back(vote);
+  for (const auto &vote : due.votes) pendingVotes_.push_back(vote);
   if (!due.votes.empty()) voteQueued_.notify();
 }
 
@@ -318,9 +322,9 @@
     runDueTasks();
     observePriorityGroups();
     isIdle_ = true;
-    co_await sched_.sleep(policy_.deployment().tickInterval); // what comes in meanwhile is handled together
-    const sched::Deadline nextLook{now() + policy_.dueTaskInterval(), nullptr};
-    if (isIdle_) co_await sched_.wait(activity_, nextLook);
+    co_await sched_.sleep(policy_.deployment().tickInterval); // reports in the meantime are handled together
+    const sched::Deadline nextRun{now() + policy_.dueTaskInterval(), nullptr};
+    if (isIdle_) co_await sched_.wait(activity_, nextRun);
   }
 }
 
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,6 +1,6 @@
-// The facade before the decisions, in blocking style: network code awaits what to do with a request and
-// reports what came of each attempt; control code notifies of the endpoint list, the rollout and the peers.
-// It knows no protocol and decides nothing.
+// The coroutine interface to the routing policy. Network code awaits the next attempt for a request and
+// reports the outcome of each attempt. Control code reports changes of the endpoint list, the rollout and the
+// peers. The router knows no wire protocol, and all decisions are made by the policy.
 #pragma once
 
 #include "base/log/log.h"
@@ -19,37 +19,40 @@
 
 namespace myrtlehead {
 
-// An endpoint as network code knows it.
+// An endpoint as network code sees it.
 struct UpstreamEndpoint {
   std::string name;
   std::string address;                // IP address and port
-  std::size_t index = 0;              // in the order in which endpoints were first listed
-  std::uint64_t version = 0;          // grows with each change of its build, start, state or address
-  bool isReady = false;               // by the latest list
-  Nanoseconds lastReadyAt = 0;        // when it was last listed as ready, or was first met
-  Endpoint *policyEndpoint = nullptr; // as the decisions know it
+  std::size_t index = 0;              // position in the order in which endpoints were added
+  std::uint64_t version = 0;          // incremented when the build, start time, state or address changes
+  bool isReady = false;               // according to the latest list
+  Nanoseconds lastReadyAt = 0;        // when it was last listed as ready, or else when it was added
+  Endpoint *policyEndpoint = nullptr; // the same endpoint in the policy
 };
 
-// RoutingDecision for network code: any waiting has been done, and the timeout is a deadline.
+// A RoutingDecision for network code: waiting has been done already, and the timeout is a deadline.
 struct AttemptDecision {
+  // forward: send an attempt to `endpoint`. shed: reject the request; a retry is safe. fail: answer with an
+  // error, because an attempt may have been executed. none: nothing is to be done.
   enum Action { forward, shed, fail, none } action = none;
   UpstreamEndpoint *endpoint = nullptr; // forward
-  Nanoseconds deadline = 0;             // forward: give the attempt up then
-  Nanoseconds sendBy = 0;               // forward: its last byte may not leave later
-  Nanoseconds retryAfter = 0;           // shed: when the client should come back; 0: not said
+  Nanoseconds deadline = 0;             // forward: the attempt times out at this time
+  Nanoseconds sendBy = 0;               // forward: no byte of the request may be written later
+  Nanoseconds retryAfter = 0;           // shed: delay before the client should retry; 0: unspecified
 };
 
-// One request in flight, from the moment that it was received.
+// The state of one request in flight.
 class RequestContext {
 public:
-  // timeout: how long the client waits from `now` on.
+  // `timeout` is how long the client waits for the answer, counted from `now`.
   RequestContext(int route, std::uint64_t key, Nanoseconds timeout, bool isClientRetry, Nanoseconds now);
 
 private:
   friend class Router;
   Request request_;
   UpstreamEndpoint *endpoint_ = nullptr; // of the attempt in flight
-  std::uint64_t endpointVersion_ = 0;    // when the attempt was decided on, as are the next two
+  // The state on which the decision for the attempt in flight was based.
+  std::uint64_t endpointVersion_ = 0;
   std::uint64_t rolloutVersion_ = 0;
   int build_ = 0;
 };
@@ -62,85 +65,85 @@
 
   // Requests.
 
-  // Returns once there is something to do with the request, or the token is cancelled.
+  // Waits until the policy has decided what to do with the request. Returns `none` if the token is cancelled.
   sched::Task<AttemptDecision> nextAttempt(RequestContext &context, sched::CancellationToken &cancellation);
-  // The attempt in flight has ended. Returns what to do next.
+  // Reports the outcome of the attempt in flight, and returns what to do with the request next.
   AttemptDecision onAttemptFinished(RequestContext &context, Outcome outcome);
-  // Whether the endpoint and the rollout are unchanged since the attempt in flight was decided on; if not, it
-  // must not be sent.
+  // Whether the endpoint and the rollout are unchanged since the decision for the attempt in flight. If they
+  // have changed, the attempt must not be sent.
   bool isStillCurrent(const RequestContext &context) const;
   void onClientDisconnected(RequestContext &context);
-  // The load report that came with the attempt in flight, in the order of the deployment's fields.
+  // Reports the load values that came with the attempt in flight, in the order of the deployment's fields.
   void onLoadReport(const RequestContext &context, const std::vector<float> &values);
 
   // The endpoint list.
 
-  // Returns when the list must be polled, and records the poll.
+  // Returns when the endpoint list must be polled, and records the poll as sent.
   sched::Task<> awaitListPollDue();
-  // isComplete: endpoints that are not among the entries are gone.
+  // If `isComplete` is true, endpoints that are not among the entries are removed.
   void onEndpointUpdates(const std::vector<Entry> &entries, bool isComplete);
-  // Any message of an open watch.
+  // Reports any message of an open watch.
   void onWatchMessage(MessageSource source);
-  // A call for the list or a watch has ended. isLast: nothing else is open.
+  // Reports that a poll or a watch has ended. `isLast` is true if no other poll or watch is open.
   void onListCallEnded(CallEnd end, OtherCalls others, bool isLast);
   void onDiscoveryAddressChanged();
   UpstreamEndpoint *findEndpoint(const std::string &name);
 
-  // From now on the list goes through the merge, which adds the endpoints of DNS records and must live as
-  // long.
+  // Passes all further endpoint lists through the merge, which adds the endpoints of DNS records. The merge
+  // must outlive the router.
   void setEndpointMerge(endpoint_merge::EndpointMerge &merge);
-  // The merge holds something new, or its time has come.
+  // Applies the merged endpoints again, after a change of the merge or when its next change is due.
   void onEndpointMergeChanged();
 
   // The rollout.
   sched::Task<Vote> nextVote();
   void onVoteReply(VoteReply reply);
   void onRolloutState(const RolloutState &state);
-  void onWrongAnswerReport(const std::string &endpoint, Nanoseconds sentAgo);
+  void onWrongAnswerReport(const std::string &endpoint, Nanoseconds timeSinceSent);
 
-  // Other instances.
+  // Messages to and from other instances.
   sched::Task<PeerMessage> nextPeerMessage();
   void onPeerMessage(int from, std::string_view bytes);
 
-  // Does what falls due of itself, for as long as the instance lives.
+  // Runs the tasks of the policy when they are due. Never returns.
   sched::Task<> run();
 
 private:
-  AttemptDecision toAttempt(RequestContext &context, const RoutingDecision &decision);
-  UpstreamEndpoint &endpointNamed(const std::string &name);
+  AttemptDecision toAttemptDecision(RequestContext &context, const RoutingDecision &decision);
+  UpstreamEndpoint &getOrAddEndpoint(const std::string &name);
   UpstreamEndpoint &reuseOrAddEndpoint();
   void applyUpdates(const std::vector<Entry> &entries, bool isComplete);
-  void adoptLeadingNames(const std::vector<Entry> &entries);
+  void renameEndpointsByAddress(const std::vector<Entry> &entries);
   void observePriorityGroups();
   void applyGossip(const GossipMessage &message);
-  void updateListTrust();
+  void updateListFreshness();
   void runDueTasks();
-  double drawForList();
-  double drawForGroups();
+  double drawPollJitter();
+  double drawForPriorityGroup();
   Nanoseconds now() const { return sched_.now(); }
 
   sched::Scheduler &sched_;
   log::Log &log_;
   RoutingPolicy policy_;
-  endpoint_merge::EndpointMerge *merge_ = nullptr; // null: the list alone
+  endpoint_merge::EndpointMerge *merge_ = nullptr; // null: endpoints come from the endpoint list alone
   priority_selector::PrioritySelector prioritySelector_;
   RandomEngine priorityRandom_;
-  OutlierGossip gossip_; // where instances may send each other messages
+  OutlierGossip gossip_; // used only if the deployment has peers
   RandomEngine gossipRandom_;
   DiscoverySubscription subscription_;
   RandomEngine subscriptionRandom_;
   std::deque<UpstreamEndpoint> endpoints_;
-  std::unordered_map<std::string, UpstreamEndpoint *> byName_;
-  std::unordered_map<const Endpoint *, UpstreamEndpoint *> byEndpoint_;
+  std::unordered_map<std::string, UpstreamEndpoint *> endpointsByName_;
+  std::unordered_map<const Endpoint *, UpstreamEndpoint *> endpointsByPolicyEndpoint_;
   RolloutState rolloutState_;
-  std::uint64_t rolloutVersion_ = 0; // grows with each change of the rollout's state
-  std::deque<Vote> votes_;
-  std::deque<PeerMessage> messages_;
-  sched::Event activity_; // run() must not wait any longer
-  sched::Event listRequestChanged_;
+  std::uint64_t rolloutVersion_ = 0; // incremented when the rollout's state changes
+  std::deque<Vote> pendingVotes_;
+  std::deque<PeerMessage> pendingPeerMessages_;
+  sched::Event activity_; // wakes up run()
+  sched::Event pollScheduleChanged_;
   sched::Event voteQueued_;
   sched::Event messageQueued_;
-  bool isIdle_ = true; // nothing has come in since the last look
+  bool isIdle_ = true; // nothing was reported since run() last ran the due tasks
 };
 
 } // namespace myrtlehead
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -15,13 +15,15 @@
 
 namespace {
 
-constexpr int kControlReserve = 16; // descriptors kept for connections to discovery and the platform
-constexpr std::size_t kSmallMessageBytes = 16 * 1024; // needs no reservation; a buffer that is kept
-constexpr Nanoseconds kResponseEndTimeout = kSecond;  // for what is due behind an answer
-constexpr float kMaxLoad = 1e6f;
+constexpr int kReservedDescriptors = 16; // kept for connections to discovery and the platform
+// Messages up to this size need no memory reservation, and buffers up to this size are kept.
+constexpr std::size_t kSmallMessageBytes = 16 * 1024;
+// For the messages that are expected behind an answer.
+constexpr Nanoseconds kResponseEndTimeout = kSecond;
+constexpr float kMaxLoadValue = 1e6f;
 
-// The next message of a connection, at the front of its buffer until it is consumed. `progress`: of the
-// attempt, where it fails before anything has arrived.
+// Reads the next message of a connection, which stays at the front of the buffer until it is consumed.
+// `progress` is reported in a failure if nothing has arrived.
 net::Task<Failure> nextMessage(net::Socket &socket, net::Buffer &buffer, net::Deadline deadline,
                                SendProgress progress, pg::Message &out) {
   for (;;) {
@@ -34,17 +36,17 @@
   }
 }
 
-// The timeout that is passed on with a statement, in milliseconds: rounded up, and 1 at least.
-Nanoseconds timeoutMs(Nanoseconds timeLeft) {
+// The timeout that is forwarded with a statement, in milliseconds, rounded up to at least 1.
+Nanoseconds forwardedTimeoutMs(Nanoseconds timeLeft) {
   return std::max<Nanoseconds>((timeLeft + kMillisecond - 1) / kMillisecond, 1);
 }
 
-// A load report's value, or -1 where it is no number that can be.
-float parseLoad(std::string_view text) {
+// Returns the value of a load report's field, or a negative number if it is not a number up to kMaxLoadValue.
+float parseLoadValue(std::string_view text) {
   float value = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
   const bool isNumber = parsed.ec == std::errc{} && parsed.ptr == text.data() + text.size();
-  return isNumber && value <= kMaxLoad ? value : -1; // the comparison is false for NaN
+  return isNumber && value <= kMaxLoadValue ? value : -1; // the comparison is false for NaN
 }
 
 } // namespace
@@ -52,13 +54,13 @@
 Outcome outcomeOf(const Failure &failure) {
   const bool isWritten = failure.progress == SendProgress::fullyWritten ||
                          failure.progress == SendProgress::responseStarted;
-  if (failure.cause == ErrorCode::noDescriptorLeft) return Outcome::notSent; // no fault of the endpoint's
+  if (failure.cause == ErrorCode::noDescriptorLeft) return Outcome::notSent; // not the endpoint's fault
   if (failure.cause == ErrorCode::cancelled) return isWritten ? Outcome::cancelled : Outcome::notSent;
   if (!isWritten) return Outcome::unreachable;
   return failure.cause == ErrorCode::timedOut ? Outcome::timedOut : Outcome::reset;
 }
 
-// Guards the estimate of load against impossible values: one of them spoils all.
+// Rejects the whole report if one value is invalid, so that no impossible value enters the load estimate.
 std::vector<float> parseLoadReport(std::string_view text, const std::vector<std::string> &names) {
   std::vector<float> out(names.size(), -1);
   while (!text.empty()) {
@@ -68,7 +70,7 @@
     const auto equals = std::min(item.find('='), item.size());
     const auto name = std::find(names.begin(), names.end(), item.substr(0, equals));
     if (name == names.end()) continue;
-    out[static_cast<std::size_t>(name - names.begin())] = parseLoad(
+    out[static_cast<std::size_t>(name - names.begin())] = parseLoadValue(
         item.substr(std::min(equals + 1, item.size())));
   }
   const auto isValid = [](float value) { return value >= 0; };
@@ -81,7 +83,7 @@
   AttemptResult out;
   auto connection = takeIdle(endpoint);
   if (connection == nullptr) {
-    auto opened = co_await open(endpoint, deadline);
+    auto opened = co_await openConnection(endpoint, deadline);
     if (!opened) {
       const bool isRejected = opened.failure().cause == ErrorCode::refused &&
                               opened.failure().progress == SendProgress::responseStarted;
@@ -90,28 +92,28 @@
     }
     connection = std::move(*opened);
   }
-  // Guards against writing to an endpoint whose listing has changed meanwhile, or too late for a retry.
+  // The endpoint's list entry may have changed during the connect, or it may be too late for a retry.
   if (!isStillCurrent() || sched_.now() > sendBy) {
-    putBack(endpoint, std::move(connection));
+    returnToPool(endpoint, std::move(connection));
     out.outcome = Outcome::notSent;
     co_return out;
   }
   std::string query;
-  pg::addQuery(query, pg::withPatience(statement, timeoutMs(deadline.at - sched_.now())));
+  pg::addQuery(query, pg::withPatience(statement, forwardedTimeoutMs(deadline.at - sched_.now())));
   const auto failure = co_await exchange(*connection, std::move(query), deadline, sendBy, out);
   if (failure.cause != ErrorCode::none)
     out.outcome = outcomeOf(failure);
   else
-    putBack(endpoint, std::move(connection));
+    returnToPool(endpoint, std::move(connection));
   co_return out;
 }
 
 net::Task<net::Result<ConnectionPool::PooledConnection>>
-ConnectionPool::open(const UpstreamEndpoint &endpoint, net::Deadline deadline) {
+ConnectionPool::openConnection(const UpstreamEndpoint &endpoint, net::Deadline deadline) {
   const auto address = net::parseAddress(endpoint.address);
   if (!address) co_return Failure{ErrorCode::refused};
   deadline.at = std::min(deadline.at, sched_.now() + connectTimeout_);
-  if (budget_.available() <= kControlReserve && !closeOldestIdle())
+  if (budget_.available() <= kReservedDescriptors && !closeOldestIdle())
     co_return Failure{ErrorCode::noDescriptorLeft};
   auto socket = co_await net::connect(sched_, budget_, *address, deadline);
   if (!socket) co_return socket.failure();
@@ -123,8 +125,8 @@
   co_return std::move(connection);
 }
 
-// From the startup message to the first ReadyForQuery. `refused` with `responseStarted`: the endpoint is full
-// or starting up.
+// Sends the startup message and reads up to the first ReadyForQuery. Fails with `refused` and
+// `responseStarted` if the endpoint has too many connections or is starting up.
 net::Task<Failure> ConnectionPool::handshake(Connection &connection, net::Deadline deadline) {
   constexpr std::string_view kTooManyConnections = "53300";
   constexpr std::string_view kCannotConnectNow = "57P03";
@@ -137,7 +139,7 @@
     pg::Message message;
     auto failure = co_await nextMessage(*connection.socket, connection.buffer, deadline,
                                         SendProgress::notConnected, message);
-    failure.progress = SendProgress::notConnected; // nothing of the request has been written
+    failure.progress = SendProgress::notConnected; // no byte of the statement has been written
     if (failure.cause != ErrorCode::none) co_return failure;
     const char type = message.type;
     const bool isAuthenticated = type != 'R' || message.body == kAuthenticationOk;
@@ -150,9 +152,9 @@
   }
 }
 
-// The statement is written and its answer read, up to ReadyForQuery if that has arrived with it. What is
-// passed on has the form of the one answer that is due; anything else may have been executed and is not
-// believed.
+// Writes the statement and reads its answer, including ReadyForQuery if that has arrived with it. Only an
+// answer in the expected form is passed on. If anything else arrives, the statement may have been executed,
+// and the attempt fails.
 net::Task<Failure> ConnectionPool::exchange(Connection &connection, std::string query, net::Deadline deadline,
                                             Nanoseconds sendBy, AttemptResult &out) {
   const net::Deadline writeDeadline{std::min(deadline.at, sendBy), deadline.cancellation};
@@ -170,8 +172,9 @@
                                                                        out.memory);
         if (reserved != net::MemoryReservation::Result::acquired)
           co_return Failure{ErrorCode::timedOut, SendProgress::responseStarted};
-        buffer.prepare(size + kSmallMessageBytes - buffer.view().size()); // once, for all that comes
-        out.answer.reserve(size + kAnswerHeadBytes);
+        // One allocation for the whole message.
+        buffer.prepare(size + kSmallMessageBytes - buffer.view().size());
+        out.answer.reserve(size + kMaxAnswerOverheadBytes);
       }
       const auto error = co_await connection.socket->read(buffer, deadline);
       if (error != ErrorCode::none) co_return Failure{error, progress};
@@ -184,35 +187,38 @@
     buffer.consume(message.size);
   }
   buffer.shrink(kSmallMessageBytes);
-  // The load report stands between the answer and ReadyForQuery. What has not arrived yet is read later.
-  sendSyncQuery(connection);
-  drainResponse(connection, &out);
-  if (!std::exchange(connection.hasCarriedAnswer, true)) co_return Failure{}; // there is no earlier answer
+  // The load report comes between the answer and ReadyForQuery. What has not arrived yet is read later.
+  sendEmptyQuery(connection);
+  consumeResponseEnd(connection, &out);
+  // On a connection's first answer, no copy of an earlier answer can arrive.
+  if (!std::exchange(connection.hasCarriedAnswer, true)) co_return Failure{};
   const auto failure = co_await confirmAnswer(connection, deadline, out);
   co_return failure;
 }
 
-// Takes the part at the front of the buffer, without consuming it. Returns whether the answer is complete.
+// Adds the part at the front of the buffer to the answer, without consuming it. Returns whether the answer is
+// complete.
 bool ConnectionPool::addToAnswer(Connection &connection, pg::Reply::Part part, const pg::Message &message,
                                  AttemptResult &out) {
-  constexpr std::string_view kRejected = "53300";
+  constexpr std::string_view kTooManyConnections = "53300"; // the SQLSTATE of a rejected statement
   if (part == pg::Reply::aside && message.type == 'S') readParameterStatus(message.body, out);
   if (part == pg::Reply::error)
-    out.outcome = pg::errorCode(message.body) == kRejected ? Outcome::rejected : Outcome::failed;
+    out.outcome = pg::errorCode(message.body) == kTooManyConnections ? Outcome::rejected : Outcome::failed;
   else if (part != pg::Reply::aside)
     out.answer += connection.buffer.view().substr(0, message.size);
   if (part == pg::Reply::complete) out.outcome = Outcome::succeeded;
   return part == pg::Reply::complete || part == pg::Reply::error;
 }
 
-// Guards against a copy of an earlier answer that arrives while this one is awaited: then the one due arrives
-// before the empty query's answer, and which of the two is whose can't be told. It may have been executed.
+// Waits for the empty query's answer, to detect a copy of an earlier answer that was taken for this one. In
+// that case the real answer arrives before the empty query's answer, and the two can't be told apart. The
+// attempt then fails as one that may have been executed.
 net::Task<Failure> ConnectionPool::confirmAnswer(Connection &connection, net::Deadline deadline,
                                                  AttemptResult &out) {
-  while (!connection.hasUnexpectedContent && connection.readyForQueryDue > 0) {
+  while (!connection.hasUnexpectedContent && connection.pendingReadyForQuery > 0) {
     const auto error = co_await connection.socket->read(connection.buffer, deadline);
     if (error != ErrorCode::none) co_return Failure{error, SendProgress::responseStarted};
-    drainResponse(connection, &out);
+    consumeResponseEnd(connection, &out);
   }
   if (connection.hasUnexpectedContent)
     co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
@@ -226,56 +232,58 @@
   out.loadValues = parseLoadReport(value, loadFields_);
   if (!out.loadValues.empty() || loadFields_.empty() || hasLoggedBadLoadReport_) return;
   hasLoggedBadLoadReport_ = true;
-  log_.warning("a load report lacks a field or can't be read",
+  log_.warning("invalid load report: a configured field is missing or is not a number from 0 to 1000000",
                {{"report", value.substr(0, kMaxLoggedBytes)}});
 }
 
-// Guards against a copy of an answer, or noise, that arrives behind it: an empty query has no effect, and its
-// answer can't overtake what the endpoint has sent before.
-void ConnectionPool::sendSyncQuery(Connection &connection) {
+// Sends an empty query behind an answer, to detect a copy of the answer, or garbage, that follows it. An
+// empty query has no effect, and its answer can't overtake what the endpoint has sent before.
+void ConnectionPool::sendEmptyQuery(Connection &connection) {
   std::string query;
   pg::addQuery(query, "");
-  connection.readyForQueryDue = 2;
-  connection.isEmptyQueryAnswerDue = true;
+  connection.pendingReadyForQuery = 2;
+  connection.isEmptyQueryAnswerPending = true;
   connection.hasUnexpectedContent = !connection.socket->tryWrite(query);
 }
 
-// Takes what has arrived of what is due behind an answer: ReadyForQuery, then the empty query's answer and
-// its ReadyForQuery. `out` receives a load report on the way; nullptr: it is dropped.
-void ConnectionPool::drainResponse(Connection &connection, AttemptResult *out) {
+// Consumes the messages expected behind an answer, as far as they have arrived: ReadyForQuery, then the empty
+// query's answer and its ReadyForQuery. A load report among them is stored in `out`, or dropped if `out` is
+// nullptr.
+void ConnectionPool::consumeResponseEnd(Connection &connection, AttemptResult *out) {
   pg::Message message;
-  auto &due = connection.readyForQueryDue;
-  while (!connection.hasUnexpectedContent && (due > 0 || !connection.buffer.empty())) {
+  auto &pending = connection.pendingReadyForQuery;
+  while (!connection.hasUnexpectedContent && (pending > 0 || !connection.buffer.empty())) {
     const auto part = connection.reply.next(connection.buffer.view(), message);
     if (part == pg::Reply::more) return;
     const bool isReady = part == pg::Reply::ready &&
-                         (due == 2 || (due == 1 && !connection.isEmptyQueryAnswerDue));
-    const bool isEmptyQueryAnswer = part == pg::Reply::empty && due == 1 && connection.isEmptyQueryAnswerDue;
+                         (pending == 2 || (pending == 1 && !connection.isEmptyQueryAnswerPending));
+    const bool isEmptyQueryAnswer = part == pg::Reply::empty && pending == 1 &&
+                                    connection.isEmptyQueryAnswerPending;
     if (part == pg::Reply::aside && message.type == 'S' && out != nullptr)
       readParameterStatus(message.body, *out);
     connection.hasUnexpectedContent = part != pg::Reply::aside && !isReady && !isEmptyQueryAnswer;
     if (connection.hasUnexpectedContent) return;
-    if (isReady) --due;
-    if (isEmptyQueryAnswer) connection.isEmptyQueryAnswerDue = false;
+    if (isReady) --pending;
+    if (isEmptyQueryAnswer) connection.isEmptyQueryAnswerPending = false;
     connection.buffer.consume(message.size);
   }
 }
 
-// Reads all that has arrived: the connection's end may stand behind what was due.
+// Reads everything that has arrived, because the end of the connection may follow the expected messages.
 ConnectionPool::ConnectionHealth ConnectionPool::checkHealth(Connection &connection) {
   auto error = ErrorCode::none;
   while (error == ErrorCode::none && !connection.hasUnexpectedContent) {
     error = connection.socket->tryRead(connection.buffer);
-    drainResponse(connection, nullptr);
+    consumeResponseEnd(connection, nullptr);
   }
   if (error != ErrorCode::timedOut) return ConnectionHealth::unusable;
   connection.buffer.shrink(kSmallMessageBytes);
   if (connection.hasUnexpectedContent) return ConnectionHealth::unusable;
-  if (connection.readyForQueryDue > 0) return ConnectionHealth::awaitingResponseEnd;
+  if (connection.pendingReadyForQuery > 0) return ConnectionHealth::awaitingResponseEnd;
   return connection.buffer.empty() ? ConnectionHealth::usable : ConnectionHealth::unusable;
 }
 
-// The usable connection that was used latest, or nullptr; unusable ones on the way are closed.
+// Returns the most recently used connection that is usable, or nullptr. Closes unusable ones.
 ConnectionPool::PooledConnection ConnectionPool::takeIdle(const UpstreamEndpoint &endpoint) {
   if (endpoint.index >= idle_.size()) return nullptr;
   auto &connections = idle_[endpoint.index].connections;
@@ -291,8 +299,8 @@
   return nullptr;
 }
 
-// Keeps a connection for further attempts, unless its endpoint has changed or is not listed as ready.
-void ConnectionPool::putBack(const UpstreamEndpoint &endpoint, PooledConnection connection) {
+// Keeps a connection for reuse, or closes it if its endpoint has changed or is not listed as ready.
+void ConnectionPool::returnToPool(const UpstreamEndpoint &endpoint, PooledConnection connection) {
   while (idle_.size() <= endpoint.index) idle_.emplace_back();
   auto &idle = idle_[endpoint.index];
   idle.endpoint = &endpoint;
@@ -309,9 +317,10 @@
     for (auto &idle : idle_)
       std::erase_if(idle.connections, [&](const PooledConnection &connection) {
         const auto idleTime = sched_.now() - connection->idleSince;
-        const bool isOld = idleTime >= maxIdleTime_ / 2;
-        const bool isLate = connection->readyForQueryDue > 0 && idleTime >= kResponseEndTimeout;
-        return isOld || isLate || connection->endpointVersion != idle.endpoint->version ||
+        const bool isExpired = idleTime >= maxIdleTime_ / 2;
+        const bool isResponseEndLate = connection->pendingReadyForQuery > 0 &&
+                                       idleTime >= kResponseEndTimeout;
+        return isExpired || isResponseEndLate || connection->endpointVersion != idle.endpoint->version ||
                checkHealth(*connection) == ConnectionHealth::unusable;
       });
   }
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,8 +1,10 @@
-// Connections to endpoints, and upstream attempts on them. A connection carries one attempt at a time and is
-// used again only after a complete answer with nothing left over, and once an empty query behind it has been
-// answered. What an endpoint sends too much may arrive later still: the answer on a connection that has
-// carried one before counts only once the empty query behind it has been answered with nothing else between,
-// so a copy of an earlier answer is never passed on.
+// Connections to endpoints, and upstream attempts on them.
+//
+// Invariants: a connection carries one attempt at a time. It is reused only after a complete answer with no
+// bytes left over, and after the endpoint has answered an empty query sent behind that answer. An endpoint
+// may still send unexpected bytes later. An answer on a connection that has carried an earlier one therefore
+// counts only once the empty query sent behind it has been answered with nothing in between, so a copy of an
+// earlier answer is never passed on.
 #pragma once
 
 #include "base/net/memory_budget.h"
@@ -15,64 +17,67 @@
 
 namespace myrtlehead::upstream {
 
-// What an attempt came to.
+// The result of an attempt.
 struct AttemptResult {
   Outcome outcome = Outcome::unreachable;
-  std::string answer;            // succeeded: the row as the endpoint wrote it, to be passed on
-  std::vector<float> loadValues; // the endpoint's load report, in the order of the deployment's fields
-  net::MemoryReservation memory; // of a large answer, until it has been passed on
+  std::string answer;            // if it succeeded: the row, byte for byte as the endpoint sent it
+  std::vector<float> loadValues; // the load report, in the order of the deployment's fields; may be empty
+  net::MemoryReservation memory; // reserved for a large answer until it has been written
 };
 
-// What a failure proves, by how far the attempt had come.
+// The outcome of a failed attempt. It depends on how far the attempt had come, which tells whether the
+// statement may have been executed.
 Outcome outcomeOf(const net::Failure &failure);
 
-// "inflight=7,util=0.61": the values of `names`, in their order; empty where one is missing or is no finite
-// number from 0 to a million.
+// Parses a load report such as "inflight=7,util=0.61". Returns the values of `names`, in their order. The
+// result is empty if a value is missing or is not a number from 0 to 1,000,000.
 std::vector<float> parseLoadReport(std::string_view text, const std::vector<std::string> &names);
 
 class ConnectionPool {
 public:
-  // `maxIdleTime`: after which endpoints close idle connections; they are used for half of it. `loadFields`:
-  // the names of a load report's values. `answerMemory`: bytes for large answers of all endpoints.
+  // `maxIdleTime` is the time after which endpoints close idle connections; connections are reused for half
+  // of it. `loadFields` holds the names of the values in a load report. `answerMemory` is the number of bytes
+  // available for large answers of all endpoints.
   ConnectionPool(net::Scheduler &sched, net::DescriptorBudget &budget, log::Log &log,
                  Nanoseconds connectTimeout, Nanoseconds maxIdleTime, std::vector<std::string> loadFields,
                  std::size_t answerMemory)
       : sched_(sched), budget_(budget), log_(log), connectTimeout_(connectTimeout), maxIdleTime_(maxIdleTime),
         loadFields_(std::move(loadFields)),
-        answerMemory_(std::max(answerMemory, pg::kMostRow + kAnswerHeadBytes)) {}
+        answerMemory_(std::max(answerMemory, pg::kMostRow + kMaxAnswerOverheadBytes)) {}
 
-  // One attempt. `isStillCurrent` is asked right before the statement is written: where it is not, or where
-  // the statement's last byte would leave after `sendBy`, the outcome is notSent.
+  // Makes one attempt. Calls `isStillCurrent` directly before the statement is written. The outcome is
+  // notSent if that returns false or `sendBy` has passed. After `sendBy` no byte of the statement is written.
   net::Task<AttemptResult> attempt(const UpstreamEndpoint &endpoint, const pg::Statement &statement,
                                    net::Deadline deadline, Nanoseconds sendBy,
                                    std::function<bool()> isStillCurrent);
-  // Closes connections that have been idle too long or have ended, for as long as the instance runs.
+  // Periodically closes connections that have been idle too long or have ended. Never returns.
   net::Task<> sweepIdleConnections();
-  // Frees a descriptor; false: no connection is idle.
+  // Closes the connection that has been idle longest, to free its descriptor. Returns false if none is idle.
   bool closeOldestIdle();
 
 private:
-  static constexpr std::size_t kAnswerHeadBytes = 1024; // of an answer, beside its row
+  static constexpr std::size_t kMaxAnswerOverheadBytes = 1024; // maximum size of an answer without its row
   struct Connection {
     std::unique_ptr<net::Socket> socket;
     net::Buffer buffer;
-    std::uint64_t endpointVersion = 0; // when it was opened
+    std::uint64_t endpointVersion = 0; // the endpoint's version when the connection was opened
     Nanoseconds idleSince = 0;
     pg::Reply reply;
-    int readyForQueryDue = 0;           // messages that are still to come
-    bool isEmptyQueryAnswerDue = false; // before the last of them
+    int pendingReadyForQuery = 0;           // number of ReadyForQuery messages that are still expected
+    bool isEmptyQueryAnswerPending = false; // expected before the last ReadyForQuery
     bool hasUnexpectedContent = false;
     bool hasCarriedAnswer = false;
   };
   using PooledConnection = std::unique_ptr<Connection>;
   enum class ConnectionHealth { usable, awaitingResponseEnd, unusable };
-  // Of one endpoint.
+  // The idle connections to one endpoint.
   struct IdleConnections {
     const UpstreamEndpoint *endpoint = nullptr;
-    std::deque<PooledConnection> connections; // the one used latest last
+    std::deque<PooledConnection> connections; // the most recently used one is last
   };
 
-  net::Task<net::Result<PooledConnection>> open(const UpstreamEndpoint &endpoint, net::Deadline deadline);
+  net::Task<net::Result<PooledConnection>> openConnection(const UpstreamEndpoint &endpoint,
+                                                          net::Deadline deadline);
   net::Task<net::Failure> handshake(Connection &connection, net::Deadline deadline);
   net::Task<net::Failure> exchange(Connection &connection, std::string query, net::Deadline deadline,
                                    Nanoseconds sendBy, AttemptResult &out);
@@ -80,10 +85,10 @@
                    AttemptResult &out);
   net::Task<net::Failure> confirmAnswer(Connection &connection, net::Deadline deadline, AttemptResult &out);
   PooledConnection takeIdle(const UpstreamEndpoint &endpoint);
-  void putBack(const UpstreamEndpoint &endpoint, PooledConnection connection);
+  void returnToPool(const UpstreamEndpoint &endpoint, PooledConnection connection);
   ConnectionHealth checkHealth(Connection &connection);
-  void drainResponse(Connection &connection, AttemptResult *out);
-  void sendSyncQuery(Connection &connection);
+  void consumeResponseEnd(Connection &connection, AttemptResult *out);
+  void sendEmptyQuery(Connection &connection);
   void readParameterStatus(std::string_view body, AttemptResult &out);
 
   net::Scheduler &sched_;
@@ -92,9 +97,9 @@
   Nanoseconds connectTimeout_;
   Nanoseconds maxIdleTime_;
   std::vector<std::string> loadFields_;
-  net::MemoryBudget answerMemory_; // for large answers
+  net::MemoryBudget answerMemory_; // for large answers of all endpoints
   bool hasLoggedBadLoadReport_ = false;
-  std::deque<IdleConnections> idle_; // by the endpoint's index
+  std::deque<IdleConnections> idle_; // indexed by UpstreamEndpoint::index
 };
 
 } // namespace myrtlehead::upstream
