--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -188,7 +188,7 @@
     ++group.endpoints;
     group.ejected += endpoint->health.ejectedUntil > now();
   }
-  prioritySelector_.observe(observed, now());
+  prioritySelector_.updateShares(observed, now());
 }
 
 void Router::applyUpdates(const std::vector<Entry> &entries, bool isComplete) {
@@ -229,7 +229,7 @@
 }
 
 void Router::onDiscoveryAddressChanged() {
-  subscription_.onMoved(now(), drawPollJitter());
+  subscription_.onAddressChanged(now(), drawPollJitter());
   pollScheduleChanged_.notify();
 }
 
@@ -291,10 +291,10 @@
 }
 
 void Router::updateListFreshness() {
-  const auto sources = merge_ != nullptr ? ListSources::discoveryAndDns : ListSources::discovery;
-  const Nanoseconds since = subscription_.provenSince(now(), sources);
+  const auto sources = merge_ != nullptr ? EndpointSources::discoveryAndDns : EndpointSources::discovery;
+  const Nanoseconds since = subscription_.proofRequiredSince(now(), sources);
   const Nanoseconds before = policy_.provenSince();
-  if (since == kNothingProven && before != since)
+  if (since == kNoProofAccepted && before != since)
     log_.warning("no endpoint list received since startup and a poll failed: nothing is forwarded until a "
                  "list arrives");
   else if (since != 0 && before == 0)
