--- a/tests/client_fixture.h
+++ b/tests/client_fixture.h
@@ -24,7 +24,7 @@
   return out;
 }
 
-// The proxy's client-facing side with one scripted endpoint, which runs a released build.
+// The proxy's client-facing side and one scripted endpoint, which runs a released build.
 struct ProxyFixture {
   enum class Sweep { off, on };
   struct Options {
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -24,8 +24,9 @@
   bool write(const std::string &bytes) {
     return send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
   }
-  // Reads up to the end of the connection and returns the types of all messages, followed by "!" if the
-  // connection was reset. `codes` receives the SQLSTATEs of all errors, each followed by a space.
+  // Reads up to the end of the connection and returns the types of all messages, followed by "?" if
+  // the last message is incomplete and by "!" if the connection was reset. `codes` receives the SQLSTATEs of
+  // all errors, each followed by a space.
   std::string readToEnd(std::string *codes = nullptr) {
     while (read(5000)) {}
     REQUIRE(fd_ < 0);
