--- a/src/control/peers/peer_transport.cpp
+++ b/src/control/peers/peer_transport.cpp
@@ -8,26 +8,26 @@
 namespace myrtlehead::peers {
 
 namespace {
-constexpr unsigned kDatagramsPerTurn = 64; // then the other coroutines run
+constexpr unsigned kMaxDatagramsPerTurn = 64; // then receive() lets the other coroutines run
 } // namespace
 
-// A message that can't be sent at once is lost, as any datagram may be.
+// A message that can't be sent without blocking is dropped; any datagram may be lost in any case.
 net::Task<> PeerTransport::send() {
   for (;;) {
     const auto message = co_await router_.nextPeerMessage();
-    const bool isForAll = message.to < 0;
+    const bool isBroadcast = message.to < 0;
     if (message.bytes.size() > kMaxDatagramBytes) continue;
-    if (!isForAll && message.to >= static_cast<int>(peers_.size())) continue;
-    const auto &to = isForAll ? all_ : peers_[static_cast<std::size_t>(message.to)];
+    if (!isBroadcast && message.to >= static_cast<int>(peers_.size())) continue;
+    const auto &to = isBroadcast ? broadcastAddress_ : peers_[static_cast<std::size_t>(message.to)];
     sendto(socket_->fd(), message.bytes.data(), message.bytes.size(), MSG_NOSIGNAL, to.asSockaddr(),
            to.size());
   }
 }
 
 net::Task<> PeerTransport::receive() {
-  std::array<char, kMaxDatagramBytes + 1> bytes; // one byte more shows a datagram that is too long
+  std::array<char, kMaxDatagramBytes + 1> bytes; // one extra byte reveals a datagram that is too long
   for (unsigned received = 1;; ++received) {
-    if (received % kDatagramsPerTurn == 0) co_await sched_.sleep(0);
+    if (received % kMaxDatagramsPerTurn == 0) co_await sched_.sleep(0);
     net::Address from;
     socklen_t addressSize = sizeof from.storage;
     const auto size = recvfrom(socket_->fd(), bytes.data(), bytes.size(), 0, from.asSockaddr(), &addressSize);
--- a/src/control/peers/peer_transport.h
+++ b/src/control/peers/peer_transport.h
@@ -1,4 +1,5 @@
-// Messages between the instances of the proxy: one a UDP datagram. A sender is known by its address.
+// Sends and receives the messages between the instances of the proxy, one UDP datagram each. A sender is
+// identified by its address.
 #pragma once
 
 #include "base/net/socket.h"
@@ -6,18 +7,19 @@
 
 namespace myrtlehead::peers {
 
-constexpr std::size_t kMaxDatagramBytes = 256; // by the operators' protocol
+constexpr std::size_t kMaxDatagramBytes = 256; // limit of the operators' protocol
 
 class PeerTransport {
 public:
-  // `peers`: the addresses of all instances, by their numbers; `all`: the address that reaches every other
-  // one. Throws std::system_error where `listen` can't be bound.
+  // `peers`: the addresses of all instances, by index. `broadcastAddress`: the address that reaches every
+  // other instance. Throws std::system_error if the address `listen` can't be bound.
   PeerTransport(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, net::Address listen,
-                std::vector<net::Address> peers, net::Address all)
+                std::vector<net::Address> peers, net::Address broadcastAddress)
       : sched_(sched), socket_(net::bindUdp(sched, budget, listen)), router_(router),
-        peers_(std::move(peers)), all_(all) {}
+        peers_(std::move(peers)), broadcastAddress_(broadcastAddress) {}
 
-  // These run for as long as the instance.
+  // These coroutines run for the lifetime of the instance. Datagrams that are too long or come from unknown
+  // senders are ignored.
   net::Task<> send();
   net::Task<> receive();
 
@@ -28,7 +30,7 @@
   std::unique_ptr<net::Socket> socket_;
   Router &router_;
   std::vector<net::Address> peers_;
-  net::Address all_;
+  net::Address broadcastAddress_;
 };
 
 } // namespace myrtlehead::peers
--- a/src/control/rollout/codec.cpp
+++ b/src/control/rollout/codec.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// In the order of RolloutPhase and of Verdict.
+// The names that the platform uses, in the order of the enumerators of RolloutPhase and Verdict.
 constexpr std::array<std::string_view, 4> kPhaseNames{"Progressing", "Aborting", "Healthy", "Aborted"};
 constexpr std::array<std::string_view, 4> kVerdictNames{"none", "on", "hold", "back"};
 
@@ -19,14 +19,14 @@
 constexpr double kMaxStage = 255;
 constexpr double kMaxAgeMilliseconds = 1e12;
 
-std::optional<double> readNumber(const http::Fields &fields, std::string_view name, double least,
-                                 double most) {
+// Returns nullopt if the field is absent, is not a finite number or is outside [min, max].
+std::optional<double> readNumber(const http::Fields &fields, std::string_view name, double min, double max) {
   const auto text = http::value(fields, name);
   const auto *end = text.data() + text.size();
   double out = 0;
   const auto result = std::from_chars(text.data(), end, out);
   if (text.empty() || result.ec != std::errc{} || result.ptr != end) return std::nullopt;
-  if (!std::isfinite(out) || out < least || out > most) return std::nullopt;
+  if (!std::isfinite(out) || out < min || out > max) return std::nullopt;
   return out;
 }
 
@@ -37,9 +37,9 @@
 }
 
 std::optional<RolloutPhase> readPhase(const http::Fields &fields) {
-  const auto at = std::find(kPhaseNames.begin(), kPhaseNames.end(), http::value(fields, "phase"));
-  if (at == kPhaseNames.end()) return std::nullopt;
-  return static_cast<RolloutPhase>(at - kPhaseNames.begin());
+  const auto found = std::find(kPhaseNames.begin(), kPhaseNames.end(), http::value(fields, "phase"));
+  if (found == kPhaseNames.end()) return std::nullopt;
+  return static_cast<RolloutPhase>(found - kPhaseNames.begin());
 }
 
 } // namespace
--- a/src/control/rollout/codec.h
+++ b/src/control/rollout/codec.h
@@ -1,5 +1,5 @@
-// Codec of the platform's messages: the rollout state of the newest build, reports of wrong answers, and the
-// votes with the answers to them.
+// Codec of the messages exchanged with the platform: the rollout state of the newest build, reports of wrong
+// answers, votes and the answers to votes.
 #pragma once
 
 #include "format/http/http.h"
@@ -10,27 +10,28 @@
 
 namespace myrtlehead::rollout {
 
-// nullopt: a field is absent, or its value can't be read or is out of range.
+// Both return nullopt if a field is absent, or if its value can't be parsed or is out of range.
 std::optional<RolloutState> readRolloutState(const http::Fields &fields);
 std::optional<RolloutState> readRolloutState(const json::Value &object);
 
-// An endpoint answered a request wrongly.
+// A client has reported that an endpoint answered a request wrongly.
 struct WrongAnswerReport {
   std::string endpoint;
   std::string route;
-  Nanoseconds age = 0; // since the attempt was sent
+  Nanoseconds age = 0; // time since the attempt was sent
 };
+// Returns nullopt if the endpoint is not named or the age can't be read.
 std::optional<WrongAnswerReport> readWrongAnswerReport(const http::Fields &fields);
 
-// The answer to a vote, with the rollout state where the answer tells it.
+// The answer to a vote. The rollout state is set if the answer contains it.
 struct VoteAnswer {
   VoteReply reply = VoteReply::timedOut;
   std::optional<RolloutState> state;
 };
-// nullopt: an answer that can't be read, which leaves open whether the vote counts.
+// Returns nullopt if the answer can't be read; the vote may or may not have been counted then.
 std::optional<VoteAnswer> readVoteAnswer(int httpStatus, std::string_view body);
 
-// The body of the HTTP request that casts the vote.
+// Returns the body of the HTTP request that casts the vote.
 std::string writeVoteForm(const Vote &vote);
 
 } // namespace myrtlehead::rollout
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -7,12 +7,12 @@
 namespace myrtlehead::rollout {
 
 namespace {
-// The platform sends a keep-alive each second. Where none comes, only a new connection shows whether the
+// The platform sends a keep-alive every second. Without one, only a new connection can tell whether the
 // platform is silent or the old connection is dead.
-constexpr Nanoseconds kMaxStreamSilence = 4 * kSecond;
+constexpr Nanoseconds kStreamIdleTimeout = 4 * kSecond;
 constexpr Nanoseconds kReopenBackoff = kSecond / 4;
 
-// Whether a call that came so far may have been executed.
+// Whether a call that failed at this point may have been executed.
 bool mayHaveExecuted(net::SendProgress progress) {
   return progress != net::SendProgress::notConnected && progress != net::SendProgress::partlyWritten;
 }
@@ -32,12 +32,12 @@
 }
 
 net::Task<VoteAnswer> RolloutClient::castVote(Vote vote) {
-  const net::Deadline until{sched_.now() + callTimeout_, nullptr};
+  const net::Deadline deadline{sched_.now() + callTimeout_, nullptr};
   auto request = http::writeRequest("POST", "/", "platform", writeVoteForm(vote));
-  auto response = co_await connection_.call(std::move(request), until);
+  auto response = co_await connection_.call(std::move(request), deadline);
   if (response) {
     const auto answer = readVoteAnswer(response->status, response->body);
-    if (!answer) connection_.discard(); // whatever follows on it may belong to no call
+    if (!answer) connection_.discard(); // further bytes could be taken for the answer to a later call
     co_return answer.value_or(VoteAnswer{});
   }
   const auto &failure = response.failure();
@@ -47,59 +47,60 @@
   co_return VoteAnswer{reply, {}};
 }
 
-// Opens a stream, and another one whenever the latest has ended or the platform has moved.
+// Opens a stream, and a further one whenever the latest one has ended or the platform has a new address.
 net::Task<> RolloutClient::followEventStream() {
   for (;;) {
-    const auto superseded = std::make_shared<sched::CancellationToken>();
-    streams_[++lastStream_] = superseded;
-    sched_.spawn(readStream(lastStream_, superseded));
-    co_await sched_.wait(streamWanted_);
+    const auto cancellation = std::make_shared<sched::CancellationToken>();
+    openStreams_[++latestStream_] = cancellation;
+    sched_.spawn(readStream(latestStream_, cancellation));
+    co_await sched_.wait(streamRequested_);
   }
 }
 
-void RolloutClient::moveTo(net::Address at) {
-  if (at == at_) return;
-  at_ = at;
-  connection_.moveTo(at);
-  streamWanted_.notify();
+void RolloutClient::moveTo(net::Address address) {
+  if (address == address_) return;
+  address_ = address;
+  connection_.moveTo(address);
+  streamRequested_.notify();
 }
 
 void RolloutClient::cancelOlderStreams(StreamNumber number) {
-  while (!streams_.empty() && streams_.begin()->first < number) {
-    streams_.begin()->second->cancel();
-    streams_.erase(streams_.begin());
+  while (!openStreams_.empty() && openStreams_.begin()->first < number) {
+    openStreams_.begin()->second->cancel();
+    openStreams_.erase(openStreams_.begin());
   }
 }
 
-// Guards against a gap in the events: an older stream is read until a newer one has sent the rollout state,
-// which it does at once. After the first event that can't be read, nothing more of a stream is believed.
+// Guards against a gap in the events: an older stream is read until a newer one has delivered the rollout
+// state, which the platform sends at once on each stream. A stream is closed after its first unreadable
+// event.
 net::Task<> RolloutClient::readStream(StreamNumber number,
-                                      std::shared_ptr<sched::CancellationToken> superseded) {
+                                      std::shared_ptr<sched::CancellationToken> cancellation) {
   http_client::Exchange exchange(sched_, budget_);
   auto request = http::writeRequest("GET", "/bulletin", "platform");
-  const net::Deadline openDeadline{sched_.now() + kMaxStreamSilence, superseded.get()};
-  const auto opened = co_await exchange.sendRequest(at_, std::move(request), openDeadline);
+  const net::Deadline openDeadline{sched_.now() + kStreamIdleTimeout, cancellation.get()};
+  const auto opened = co_await exchange.sendRequest(address_, std::move(request), openDeadline);
   auto cause = opened.cause;
   if (cause == net::ErrorCode::none && exchange.head().status != 200) cause = net::ErrorCode::refused;
   while (cause == net::ErrorCode::none) {
-    cause = handleEvents(number, *superseded, exchange.body);
+    cause = handleEvents(number, *cancellation, exchange.body);
     if (cause != net::ErrorCode::none) break;
-    const net::Deadline eventDeadline{sched_.now() + kMaxStreamSilence, superseded.get()};
+    const net::Deadline eventDeadline{sched_.now() + kStreamIdleTimeout, cancellation.get()};
     cause = co_await exchange.readMore(eventDeadline);
   }
-  streams_.erase(number);
-  const bool isLatest = number == lastStream_;
+  openStreams_.erase(number);
+  const bool isLatest = number == latestStream_;
   if (!isLatest) co_return;
   log_.info("rollout event stream ended", {{"cause", net::word(cause)}});
   co_await sched_.sleep(kReopenBackoff);
-  if (number == lastStream_) streamWanted_.notify();
+  if (number == latestStream_) streamRequested_.notify();
 }
 
-// Takes the whole events off `received`.
-net::ErrorCode RolloutClient::handleEvents(StreamNumber number, const sched::CancellationToken &superseded,
+// Handles the complete events in `received` and removes them from it.
+net::ErrorCode RolloutClient::handleEvents(StreamNumber number, const sched::CancellationToken &cancellation,
                                            std::string &received) {
   http::Event event;
-  while (!superseded.isCancelled()) {
+  while (!cancellation.isCancelled()) {
     const auto taken = http::takeEvent(received, event);
     if (taken == http::Taken::none) return net::ErrorCode::none;
     if (taken == http::Taken::unreadable) return net::ErrorCode::unreadable;
@@ -114,7 +115,7 @@
   if (!http::parseForm(event.data, fields)) return EventResult::unreadable;
   if (event.name == "stage") return handleRolloutState(fields);
   if (event.name == "flag") return handleWrongAnswer(fields);
-  // The counts of other deployments are of no use to this one.
+  // A "tally" event holds counts for other kinds of deployment, so it is ignored.
   return event.name == "tally" ? EventResult::handled : EventResult::unreadable;
 }
 
--- a/src/control/rollout/rollout_client.h
+++ b/src/control/rollout/rollout_client.h
@@ -1,5 +1,6 @@
-// The connections to the platform, which runs the rollout of builds: votes are cast on a persistent
-// connection, and the rollout event stream tells the state of the newest build and wrong answers.
+// The connections to the platform, which runs the rollout of builds. Votes are cast on a persistent
+// connection. The rollout event stream, a connection of its own, delivers the rollout state of the newest
+// build and reports of wrong answers.
 #pragma once
 
 #include "base/http_client/exchange.h"
@@ -14,28 +15,28 @@
 
 class RolloutClient {
 public:
-  // `routes`: the names of the routes. `callTimeout`: for a vote to be answered.
+  // `routes`: the names of the routes. `callTimeout`: the time limit for the answer to a vote.
   RolloutClient(net::Scheduler &sched, net::DescriptorBudget &budget, Router &router, log::Log &log,
-                net::Address at, std::vector<std::string> routes, Nanoseconds callTimeout)
-      : sched_(sched), budget_(budget), router_(router), log_(log), at_(at), routes_(std::move(routes)),
-        connection_(sched, budget, at), callTimeout_(callTimeout) {}
+                net::Address address, std::vector<std::string> routes, Nanoseconds callTimeout)
+      : sched_(sched), budget_(budget), router_(router), log_(log), address_(address),
+        routes_(std::move(routes)), connection_(sched, budget, address), callTimeout_(callTimeout) {}
 
-  // These run for as long as the instance.
+  // These coroutines run for the lifetime of the instance.
   net::Task<> sendVotes();
   net::Task<> followEventStream();
   net::Task<> keepConnectionOpen() { return connection_.keepOpen(); }
 
-  // Casts one vote. VoteReply::timedOut: it may have counted; VoteReply::error: it did not.
+  // Casts one vote. VoteReply::timedOut: the vote may have been counted; VoteReply::error: it has not been.
   net::Task<VoteAnswer> castVote(Vote vote);
-  // Votes and the event stream go to the new address at once.
-  void moveTo(net::Address at);
+  // The platform has a new address, which votes and the event stream use from now on.
+  void moveTo(net::Address address);
 
 private:
   using StreamNumber = std::uint64_t;
   enum class EventResult { handled, unreadable };
 
-  net::Task<> readStream(StreamNumber number, std::shared_ptr<sched::CancellationToken> superseded);
-  net::ErrorCode handleEvents(StreamNumber number, const sched::CancellationToken &superseded,
+  net::Task<> readStream(StreamNumber number, std::shared_ptr<sched::CancellationToken> cancellation);
+  net::ErrorCode handleEvents(StreamNumber number, const sched::CancellationToken &cancellation,
                               std::string &received);
   EventResult handleEvent(const http::Event &event);
   EventResult handleRolloutState(const http::Fields &fields);
@@ -46,13 +47,13 @@
   net::DescriptorBudget &budget_;
   Router &router_;
   log::Log &log_;
-  net::Address at_;
+  net::Address address_;
   std::vector<std::string> routes_;
   http_client::PersistentConnection connection_;
   Nanoseconds callTimeout_;
-  StreamNumber lastStream_ = 0;
-  std::map<StreamNumber, std::shared_ptr<sched::CancellationToken>> streams_; // open ones
-  sched::Event streamWanted_;
+  StreamNumber latestStream_ = 0;
+  std::map<StreamNumber, std::shared_ptr<sched::CancellationToken>> openStreams_;
+  sched::Event streamRequested_; // notified if another stream is to be opened
 };
 
 } // namespace myrtlehead::rollout
