--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -11,16 +11,16 @@
 // What the end of a call tells of discovery. `poll`: the outcome of the request; `cause`: why the call ended.
 CallEnd classifyEnd(const net::Failure &poll, net::ErrorCode cause, bool hasMessage) {
   if (poll.progress == net::SendProgress::notConnected)
-    return poll.cause == net::ErrorCode::refused ? CallEnd::nobodyListens : CallEnd::unreachable;
+    return poll.cause == net::ErrorCode::refused ? CallEnd::connectionRefused : CallEnd::unreachable;
   const bool isClosed = cause == net::ErrorCode::closedByPeer || cause == net::ErrorCode::connectionLost;
-  return hasMessage && isClosed ? CallEnd::watchClosed : CallEnd::refused;
+  return hasMessage && isClosed ? CallEnd::watchClosed : CallEnd::rejected;
 }
 
 } // namespace
 
-bool EndpointWatch::loadKnownList(const json::Value &known) {
-  const auto reading = readList(known, zones_, unixAtZero_);
-  const auto *list = std::get_if<EndpointList>(&reading);
+bool EndpointWatch::applyInitialList(const json::Value &known) {
+  const auto reading = decodeEndpointList(known, zones_, unixAtZero_);
+  const auto *list = std::get_if<EndpointListMessage>(&reading);
   if (list == nullptr) return false;
   listIndex_ = list->index;
   router_.onEndpointUpdates(list->endpoints, true);
@@ -29,7 +29,7 @@
 
 net::Task<> EndpointWatch::run() {
   for (;;) {
-    co_await router_.nextListRequest();
+    co_await router_.awaitListPollDue();
     if (!calls_.empty())
       log_.info("polls discovery again while an earlier watch is open", {{"index", listIndex_}});
     startCall();
@@ -40,7 +40,7 @@
   if (at == at_) return;
   at_ = at;
   ++addressVersion_;
-  router_.onDiscoveryMoved();
+  router_.onDiscoveryAddressChanged();
 }
 
 // Guards against a gap in the updates: a new call may get no answer, and an older one may be about to end, so
@@ -85,7 +85,7 @@
   calls_.erase(number);
   if (superseded->isCancelled()) co_return;
   log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", exchange.head().status}});
-  router_.onListClosed(classifyEnd(poll, cause, call->hasMessage), otherCalls(), calls_.empty());
+  router_.onListCallEnded(classifyEnd(poll, cause, call->hasMessage), otherCalls(), calls_.empty());
 }
 
 // Takes the whole lines off `received`. An empty line is a keep-alive.
@@ -97,8 +97,8 @@
       if (error != net::ErrorCode::none) return error;
     }
     call.hasMessage = true;
-    router_.onListMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
-                                                   : MessageSource::formerAddress);
+    router_.onWatchMessage(isAtCurrentAddress(call) ? MessageSource::currentAddress
+                                                    : MessageSource::previousAddress);
     cancelOlderCalls(number);
   }
   return net::ErrorCode::none;
@@ -107,8 +107,8 @@
 net::ErrorCode EndpointWatch::applyListUpdate(const std::string &message) {
   std::string why;
   if (const auto value = json::parse(message, &why)) {
-    const auto reading = readList(*value, zones_, unixAtZero_);
-    if (const auto *list = std::get_if<EndpointList>(&reading)) {
+    const auto reading = decodeEndpointList(*value, zones_, unixAtZero_);
+    if (const auto *list = std::get_if<EndpointListMessage>(&reading)) {
       listIndex_ = list->index;
       router_.onEndpointUpdates(list->endpoints, list->isSnapshot);
       return net::ErrorCode::none;
--- a/src/sim/adapter/notifications.cpp
+++ b/src/sim/adapter/notifications.cpp
@@ -43,7 +43,7 @@
   const auto list = in.u16();
   if (kind > failed) in.fail("unknown kind of an endpoint list update: " + std::to_string(kind));
   if (kind == failed) // a failure does not tell which call has failed
-    return instance.subscription.onClosed(CallEnd::refused, OtherCalls::none, now_,
+    return instance.subscription.onClosed(CallEnd::rejected, OtherCalls::none, now_,
                                           drawUniform(instance.random));
   if (list >= kMaxLists) in.fail("endpoint list number " + std::to_string(list) + " is greater than 15");
   for (const auto &entry : lists_[list]) {
