--- a/src/policy/build_selector.cpp
+++ b/src/policy/build_selector.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-// Times as crowded as the mean endpoint, with one more attempt:
-constexpr double kMaxCandidateCrowding = 1.5;  // a candidate's endpoint is passed over
-constexpr double kFairCrowding = 1.2;          // late answers of a candidate's endpoint are no evidence
-constexpr double kRollbackCrowding = 0.5;      // the same as the first, while the build is rolled back
-constexpr double kCandidateRateMultiple = 1.2; // of what a warm endpoint completes
+// Limits of the load on a candidate's endpoint with one more attempt, as multiples of the mean endpoint's
+// load.
+constexpr double kMaxCandidateLoadRatio = 1.5; // above it the endpoint is not used
+constexpr double kMaxEvidenceLoadRatio = 1.2;  // above it late answers are no evidence against the build
+constexpr double kMaxRollbackLoadRatio = 0.5;  // as kMaxCandidateLoadRatio, while the build is rolled back
+// Maximum rate of attempts at a candidate's endpoint, as a multiple of a warm endpoint's completion rate.
+constexpr double kCandidateRateMultiple = 1.2;
 
 } // namespace
 
@@ -19,15 +21,16 @@
   std::vector<Endpoint *> candidate;
 };
 
-// The endpoints of either side that are for the request's priority group, if there are any.
+// The ready endpoints that the request may go to. In each pool only the endpoints of the request's priority
+// group remain if there are any.
 BuildSelector::Pools BuildSelector::poolsFor(const Request &request) const {
   Pools pools;
-  int newest = 0;
+  int newestBaseline = 0;
   for (auto *endpoint : endpoints_.ready()) {
     const int build = endpoint->info.build;
     if (!rollout_.isCandidate(build)) {
       pools.baseline.push_back(endpoint);
-      newest = std::max(newest, build);
+      newestBaseline = std::max(newestBaseline, build);
     } else if (exposure_.allows(request, build)) {
       pools.candidate.push_back(endpoint);
     }
@@ -37,7 +40,7 @@
   };
   for (auto *pool : {&pools.baseline, &pools.candidate})
     if (!std::ranges::all_of(*pool, isOtherGroup)) std::erase_if(*pool, isOtherGroup);
-  const auto isOlder = [&](const Endpoint *endpoint) { return endpoint->info.build < newest; };
+  const auto isOlder = [&](const Endpoint *endpoint) { return endpoint->info.build < newestBaseline; };
   if (2 * std::ranges::count_if(pools.baseline, isOlder) <= std::ssize(pools.baseline))
     std::erase_if(pools.baseline, isOlder);
   return pools;
@@ -47,50 +50,50 @@
   auto pools = poolsFor(request);
   auto *baseline = balancer_.choose(std::move(pools.baseline), request, SlowStart::kUnlimitedRateMultiple,
                                     now, random);
-  // Guards against an overload of the baseline's endpoints beside a candidate that stands idle within its
-  // cap: once attempts take long, the candidate's endpoints are used like any other.
+  // During an overload the candidate's endpoints have no rate limit, so that the baseline's endpoints are not
+  // overloaded while the candidate is idle within its cap.
   const bool isLimited = baseline != nullptr && !overload_.isOverloaded();
   auto *candidate = balancer_.choose(std::move(pools.candidate), request,
                                      isLimited ? kCandidateRateMultiple : SlowStart::kUnlimitedRateMultiple,
                                      now, random);
   if (baseline == nullptr || candidate == nullptr) return baseline != nullptr ? baseline : candidate;
-  if (!request.attempts.empty()) return baseline; // a retry is no place for an experiment
+  if (!request.attempts.empty()) return baseline; // retries avoid candidates
   return prefersCandidate(*candidate, *baseline, now) ? candidate : baseline;
 }
 
-// Guards the judgement: beyond the others' crowding, late answers would speak of our load, not of the build,
-// and some outcomes of the baseline must be left to compare with. While the build is rolled back the cap is
-// only for what the returning endpoints can't take yet.
+// Keeps the evaluation of the candidate valid: on a more loaded endpoint, late answers would be caused by the
+// load and not by the build, and the baseline needs outcomes for the comparison. While the build is rolled
+// back, its endpoints only get the requests that the returning endpoints cannot take yet.
 bool BuildSelector::prefersCandidate(const Endpoint &candidate, const Endpoint &baseline,
                                      Nanoseconds now) const {
   const bool isEvaluating = rollout_.state().phase == RolloutPhase::evaluating;
   if (isEvaluating && test_.lacksBaselineOutcomes()) return false;
   if (isEvaluating && overload_.isOverloaded())
     return balancer_.load(candidate, now) <= balancer_.load(baseline, now);
-  const double most = isEvaluating ? kMaxCandidateCrowding : kRollbackCrowding;
-  return crowdingOf(candidate, now) <= most * meanCrowding(now);
+  const double maxRatio = isEvaluating ? kMaxCandidateLoadRatio : kMaxRollbackLoadRatio;
+  return relativeLoad(candidate, now) <= maxRatio * meanRelativeLoad(now);
 }
 
 bool BuildSelector::exceedsMeanLoad(const Endpoint &endpoint, Nanoseconds now) const {
-  return crowdingOf(endpoint, now) > kFairCrowding * meanCrowding(now);
+  return relativeLoad(endpoint, now) > kMaxEvidenceLoadRatio * meanRelativeLoad(now);
 }
 
-// Own attempts in flight, and the one to come, as if the endpoint were warm.
-double BuildSelector::crowdingOf(const Endpoint &endpoint, Nanoseconds now) const {
+// This instance's attempts in flight plus the next one, divided by the endpoint's warm-up fraction.
+double BuildSelector::relativeLoad(const Endpoint &endpoint, Nanoseconds now) const {
   return (endpoint.inFlight + 1) / slowStart_.warmupFraction(endpoint, now);
 }
 
-// The same at the mean endpoint: of all builds while there is spare capacity, so that a late stage gets its
-// load, and of the baseline on a busy fleet.
-double BuildSelector::meanCrowding(Nanoseconds now) const {
-  double attempts = 0;
-  double endpoints = 0;
+// The relative load of the mean endpoint. With spare capacity it includes the endpoints of all builds, so
+// that the candidate gets its share of the load in late stages; otherwise only those of the baseline.
+double BuildSelector::meanRelativeLoad(Nanoseconds now) const {
+  double inFlight = 0;
+  double warmEndpoints = 0; // sum of the warm-up fractions
   for (const auto *endpoint : endpoints_.ready()) {
     if (!overload_.hasSpareCapacity() && rollout_.isCandidate(endpoint->info.build)) continue;
-    attempts += endpoint->inFlight;
-    endpoints += slowStart_.warmupFraction(*endpoint, now);
+    inFlight += endpoint->inFlight;
+    warmEndpoints += slowStart_.warmupFraction(*endpoint, now);
   }
-  return attempts / std::max(endpoints, 1.0) + 1;
+  return inFlight / std::max(warmEndpoints, 1.0) + 1;
 }
 
 } // namespace myrtlehead
--- a/src/policy/build_selector.h
+++ b/src/policy/build_selector.h
@@ -1,5 +1,6 @@
-// Which build a request goes to: the candidate's endpoints while the exposure budget lasts and they are not
-// more crowded than the others, otherwise the newest other build that has half of the endpoints.
+// Selects the build for a request. Endpoints of candidate builds are used while the exposure budget lasts and
+// they are not much more loaded than the others. Otherwise endpoints of the newest baseline build are used if
+// it runs on at least half of the baseline's endpoints, else endpoints of all baseline builds.
 #pragma once
 
 #include "policy/exposure_budget.h"
@@ -17,10 +18,10 @@
       : rollout_(rollout), endpoints_(endpoints), exposure_(exposure), balancer_(balancer),
         slowStart_(slowStart), overload_(overload), test_(test) {}
 
-  // The endpoint for a request's next attempt; nullptr: none may be used now.
+  // Returns the endpoint for a request's next attempt, or nullptr if no endpoint may be used now.
   Endpoint *choose(const Request &request, Nanoseconds now, RandomEngine &random) const;
-  // Whether the endpoint, of a candidate, will be more crowded than the others with one more attempt, so that
-  // late answers speak of the load and not of its build.
+  // Whether a candidate's endpoint will be more loaded than the mean endpoint with one more attempt, so that
+  // late answers are caused by the load and are no evidence against the build.
   bool exceedsMeanLoad(const Endpoint &endpoint, Nanoseconds now) const;
 
 private:
@@ -28,8 +29,8 @@
   struct Pools;
   Pools poolsFor(const Request &request) const;
   bool prefersCandidate(const Endpoint &candidate, const Endpoint &baseline, Nanoseconds now) const;
-  double crowdingOf(const Endpoint &endpoint, Nanoseconds now) const;
-  double meanCrowding(Nanoseconds now) const;
+  double relativeLoad(const Endpoint &endpoint, Nanoseconds now) const;
+  double meanRelativeLoad(Nanoseconds now) const;
 
   const RolloutTracker &rollout_;
   const EndpointSet &endpoints_;
--- a/src/policy/latency_tracker.cpp
+++ b/src/policy/latency_tracker.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-constexpr double kEndpointMeanWeight = 0.1;                    // of the newest sample
-constexpr double kOverallMeanWeight = kEndpointMeanWeight / 4; // of the newest sample
-constexpr double kQuartileStep = 0.1;                          // relative step of a quartile's estimate
-constexpr int kTimeoutPenalty = 2;                             // a timed-out attempt would have taken longer
-constexpr double kSlowZoneRatio = 3;                           // other zones' quartile over the own zone's
+constexpr double kEndpointMeanWeight = 0.1;                    // weight of the newest sample
+constexpr double kOverallMeanWeight = kEndpointMeanWeight / 4; // weight of the newest sample
+constexpr double kQuartileStep = 0.1; // relative change of a quartile's estimate per sample
+constexpr int kTimeoutPenalty = 2;    // factor on a timeout's duration: the answer would have come later
+constexpr double kSlowZoneRatio = 3;  // other zones are slow above this multiple of the own quartile
 
 } // namespace
 
@@ -22,7 +22,7 @@
     mean_ = mean_ > 0 ? mean_ + kOverallMeanWeight * (sample - mean_) : sample;
   }
   if (outcome != Outcome::succeeded) return;
-  // The lower quartile: slow endpoints and builds leave it alone.
+  // Slow endpoints and slow builds hardly change the lower quartile.
   auto &quartile = endpoint.info.zone == deployment_.zone ? ownZoneLowerQuartile_ : otherZonesLowerQuartile_;
   const auto sample = static_cast<double>(duration);
   const double factor = sample < quartile ? 1 - 3 * kQuartileStep : 1 + kQuartileStep;
--- a/src/policy/latency_tracker.h
+++ b/src/policy/latency_tracker.h
@@ -1,5 +1,5 @@
-// How long own attempts take: the mean of all, the mean at each endpoint, and the lower quartile in the own
-// zone and in other zones.
+// Measures the latency of this instance's attempts: the mean over all attempts, the mean at each endpoint,
+// and the lower quartiles in the own zone and in other zones.
 #pragma once
 
 #include "policy/deployment.h"
@@ -15,18 +15,19 @@
   // The endpoint was restarted or has another build: earlier measurements no longer apply.
   static void onEndpointReplaced(Endpoint &endpoint) { endpoint.latency.mean = 0; }
 
-  // Of all own attempts, in nanoseconds; 0: none is over yet.
+  // Mean latency of all attempts of this instance, in nanoseconds; 0 before the first sample.
   double mean() const { return mean_; }
-  // Guards against slow or lossy links between zones, which few attempts at each endpoint can't show. Could
-  // harm where the own zone is the busier one: its times then rise, and the others are used again.
+  // Whether attempts in other zones take much longer than in the own zone. Detects slow or lossy links
+  // between zones, which the few attempts at each endpoint can't show. Limitation: if the own zone is the
+  // busier one, requests stay in it until its latencies rise.
   bool areOtherZonesSlow() const;
 
 private:
   friend struct PolicyTestPeer;
   const Deployment &deployment_;
-  double mean_ = 0;                    // ns
-  double ownZoneLowerQuartile_ = 0;    // ns
-  double otherZonesLowerQuartile_ = 0; // ns
+  double mean_ = 0;                    // nanoseconds
+  double ownZoneLowerQuartile_ = 0;    // nanoseconds; 0: no sample yet
+  double otherZonesLowerQuartile_ = 0; // nanoseconds; 0: no sample yet
 };
 
 } // namespace myrtlehead
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr double kSlowRatio = 1.3;                    // mean latencies, from which an endpoint is slow
-constexpr Nanoseconds kLatencyHalfLife = 5 * kSecond; // in which an unconfirmed slowness is half forgotten
+constexpr double kSlowRatio = 1.3; // an endpoint is slow above this multiple of the mean latency
+constexpr Nanoseconds kLatencyPenaltyHalfLife = 5 * kSecond; // since the endpoint's last latency sample
 constexpr Nanoseconds kLoadReportLifetime = kSecond;
-constexpr double kFailureRateWeight = 10; // on the load, of an endpoint that always fails
-constexpr double kCrossZoneWeight = 10;   // on the load, for each point of the cross-zone cost
-constexpr int kMaxWeightedDraws = 16;
-constexpr double kFarRequestShare = 0.05; // of the requests, that still go to slow other zones
+constexpr double kFailureRateWeight = 10; // added to the load factor at a failure rate of 1
+constexpr double kCrossZoneWeight = 10;   // added to the load factor per point of the cross-zone cost
+constexpr int kMaxRejectedDraws = 16;
+constexpr double kSlowZoneRequestShare = 0.05; // share of the requests that may still go to slow zones
 
 } // namespace
 
@@ -21,56 +21,59 @@
   const auto &latency = endpoint.latency;
   const auto &report = endpoint.loadReport;
   const double halfLives = static_cast<double>(now - latency.updatedAt) /
-                           static_cast<double>(kLatencyHalfLife);
+                           static_cast<double>(kLatencyPenaltyHalfLife);
   const double mean = latency_.mean();
-  const double slowness = mean > 0 ? std::max(latency.mean / mean - kSlowRatio, 0.0) * std::exp2(-halfLives)
-                                   : 0;
+  const double latencyPenalty = mean > 0
+                                    ? std::max(latency.mean / mean - kSlowRatio, 0.0) * std::exp2(-halfLives)
+                                    : 0;
   const bool isReportFresh = report.receivedAt > 0 && now - report.receivedAt < kLoadReportLifetime;
   const bool isOwnZone = endpoint.info.zone == deployment_.zone;
   const double zoneFactor = isOwnZone ? 1 : 1 + kCrossZoneWeight * deployment_.crossZoneCost;
-  const double queue = 1 + endpoint.inFlight + (isReportFresh ? report.requests : 0);
+  const double requests = 1 + endpoint.inFlight + (isReportFresh ? report.requests : 0);
   const double failureFactor = 1 + kFailureRateWeight * endpoint.health.failureRate;
-  return queue * (1 + slowness) * zoneFactor * failureFactor / slowStart_.warmupFraction(endpoint, now);
+  return requests * (1 + latencyPenalty) * zoneFactor * failureFactor /
+         slowStart_.warmupFraction(endpoint, now);
 }
 
-Endpoint *LoadBalancer::choose(std::vector<Endpoint *> candidates, const Request &request,
+Endpoint *LoadBalancer::choose(std::vector<Endpoint *> endpoints, const Request &request,
                                double maxRateMultiple, Nanoseconds now, RandomEngine &random) const {
-  std::erase_if(candidates, [&](Endpoint *endpoint) {
+  std::erase_if(endpoints, [&](Endpoint *endpoint) {
     return !outliers_.hasRequiredSuccess(*endpoint) || !retries_.allows(request, *endpoint) ||
            !stickyKeys_.allows(request, *endpoint) ||
            !slowStart_.hasCapacity(*endpoint, maxRateMultiple, now);
   });
-  const auto removeUnlessMost = [&](const auto &isUnwanted) {
-    if (4 * std::ranges::count_if(candidates, isUnwanted) <= 3 * std::ssize(candidates))
-      std::erase_if(candidates, isUnwanted);
+  const auto excludeUnlessTooMany = [&](const auto &isExcluded) {
+    if (4 * std::ranges::count_if(endpoints, isExcluded) <= 3 * std::ssize(endpoints))
+      std::erase_if(endpoints, isExcluded);
   };
-  removeUnlessMost([&](const Endpoint *endpoint) { return outliers_.isSuspect(*endpoint, now); });
-  if (latency_.areOtherZonesSlow() && drawUniform(random) > kFarRequestShare)
-    removeUnlessMost([&](const Endpoint *endpoint) { return endpoint->info.zone != deployment_.zone; });
+  excludeUnlessTooMany([&](const Endpoint *endpoint) { return outliers_.isSuspect(*endpoint, now); });
+  if (latency_.areOtherZonesSlow() && drawUniform(random) > kSlowZoneRequestShare)
+    excludeUnlessTooMany([&](const Endpoint *endpoint) { return endpoint->info.zone != deployment_.zone; });
   const auto wasTried = [&](const Endpoint *endpoint) {
     return std::ranges::find(request.attempts, endpoint, &Attempt::endpoint) != request.attempts.end();
   };
-  if (!request.attempts.empty() && !std::ranges::all_of(candidates, wasTried))
-    std::erase_if(candidates, wasTried);
-  if (candidates.empty()) return nullptr;
-  if (candidates.size() == 1) return candidates[0];
-  const auto first = drawByWeight(candidates, candidates.size(), random);
-  const auto second = drawByWeight(candidates, first, random);
-  const bool isSecondLighter = load(*candidates[second], now) < load(*candidates[first], now);
-  return candidates[isSecondLighter ? second : first];
+  if (!request.attempts.empty() && !std::ranges::all_of(endpoints, wasTried))
+    std::erase_if(endpoints, wasTried);
+  if (endpoints.empty()) return nullptr;
+  if (endpoints.size() == 1) return endpoints[0];
+  const auto first = drawByWeight(endpoints, endpoints.size(), random);
+  const auto second = drawByWeight(endpoints, first, random);
+  const bool isSecondLessLoaded = load(*endpoints[second], now) < load(*endpoints[first], now);
+  return endpoints[isSecondLessLoaded ? second : first];
 }
 
-// An index other than `except`, drawn with probability proportional to the endpoint's weight (rejection
-// sampling, with at most kMaxWeightedDraws rejections).
-std::size_t LoadBalancer::drawByWeight(const std::vector<Endpoint *> &from, std::size_t except,
+// Draws an index other than `excludedIndex` with probability proportional to the endpoint's weight, by
+// rejection sampling with at most kMaxRejectedDraws rejections. An `excludedIndex` past the end excludes
+// none.
+std::size_t LoadBalancer::drawByWeight(const std::vector<Endpoint *> &endpoints, std::size_t excludedIndex,
                                        RandomEngine &random) {
-  const std::size_t excluded = except < from.size() ? 2 : 1;
-  std::uniform_int_distribution<std::size_t> anyIndex(0, from.size() - excluded);
-  for (int draws = 0;; ++draws) {
+  const std::size_t lastIndexOffset = excludedIndex < endpoints.size() ? 2 : 1;
+  std::uniform_int_distribution<std::size_t> anyIndex(0, endpoints.size() - lastIndexOffset);
+  for (int rejectedDraws = 0;; ++rejectedDraws) {
     const auto drawn = anyIndex(random);
-    const auto index = drawn < except ? drawn : drawn + 1;
-    const double weight = from[index]->info.weight;
-    if (draws == kMaxWeightedDraws || weight >= 1 || drawUniform(random) < weight) return index;
+    const auto index = drawn < excludedIndex ? drawn : drawn + 1;
+    const double weight = endpoints[index]->info.weight;
+    if (rejectedDraws == kMaxRejectedDraws || weight >= 1 || drawUniform(random) < weight) return index;
   }
 }
 
@@ -81,7 +84,7 @@
     if (fields[i] != LoadReportField::queued && fields[i] != LoadReportField::inFlight) continue;
     endpoint.loadReport.requests = std::max(0.0, static_cast<double>(values[i]));
     endpoint.loadReport.receivedAt = now;
-    if (fields[i] == LoadReportField::queued) return; // says more than what is in flight
+    if (fields[i] == LoadReportField::queued) return; // preferred over inFlight
   }
 }
 
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -1,4 +1,4 @@
-// Chooses an endpoint among several: the less loaded of two that are drawn at random.
+// Chooses an endpoint by the power of two choices: the less loaded of two endpoints drawn at random.
 #pragma once
 
 #include "policy/deployment.h"
@@ -20,13 +20,14 @@
       : deployment_(deployment), latency_(latency), outliers_(outliers), slowStart_(slowStart),
         retries_(retries), stickyKeys_(stickyKeys) {}
 
-  // The endpoint for a request's next attempt; nullptr: none may be used now. Suspect and far endpoints are
-  // passed over while a quarter is left, as fewer would be flooded; those that the request was sent to before
-  // come last. maxRateMultiple: see SlowStart::hasCapacity().
-  Endpoint *choose(std::vector<Endpoint *> candidates, const Request &request, double maxRateMultiple,
+  // Returns the endpoint for a request's next attempt, or nullptr if no endpoint may be used now. Suspect
+  // endpoints and endpoints in slow zones are excluded only if at least a quarter of the endpoints remains,
+  // because fewer would be overloaded. Endpoints that the request was already sent to are used last. For
+  // maxRateMultiple see SlowStart::hasCapacity().
+  Endpoint *choose(std::vector<Endpoint *> endpoints, const Request &request, double maxRateMultiple,
                    Nanoseconds now, RandomEngine &random) const;
-  // Own attempts in flight and what the endpoint last reported, weighted by how slow it is compared with the
-  // others, how often it fails, how warm it is and whether it stands in another zone.
+  // The attempts of this instance in flight plus the requests in the last load report, weighted by the
+  // endpoint's relative latency, failure rate, warm-up fraction and zone.
   double load(const Endpoint &endpoint, Nanoseconds now) const;
 
   void onLoadReport(Endpoint &endpoint, const std::vector<float> &values, Nanoseconds now) const;
@@ -34,7 +35,7 @@
   static void onEndpointReplaced(Endpoint &endpoint) { endpoint.loadReport.requests = 0; }
 
 private:
-  static std::size_t drawByWeight(const std::vector<Endpoint *> &from, std::size_t except,
+  static std::size_t drawByWeight(const std::vector<Endpoint *> &endpoints, std::size_t excludedIndex,
                                   RandomEngine &random);
 
   const Deployment &deployment_;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -11,25 +11,26 @@
 
 constexpr int kConsecutiveFailuresToEject = 3;
 constexpr double kFailureRateToEject = 0.5;
-constexpr double kFailureRateWeight = 0.1;             // of the newest outcome
-constexpr double kOutlierRatio = 2;                    // over the better quarter's failure rate,
-constexpr double kOutlierMargin = 0.1;                 // and by this much more
-constexpr Nanoseconds kBaseEjectionTime = kSecond / 2; // doubled with each ejection in a row
+constexpr double kFailureRateWeight = 0.1; // weight of the newest outcome
+// An outlier's failure rate is at least kOutlierRatio times the lower quartile plus kOutlierMargin.
+constexpr double kOutlierRatio = 2;
+constexpr double kOutlierMargin = 0.1;
+constexpr Nanoseconds kBaseEjectionTime = kSecond / 2; // doubles with each consecutive ejection
 constexpr Nanoseconds kMaxEjectionTime = 8 * kSecond;
 constexpr int kMaxEjectionDoublings = 10;
-constexpr double kUnresponsiveRatio = 5;          // mean latencies without an outcome
-constexpr double kConnectionLossWeight = 0.1 / 4; // of the newest attempt
-constexpr double kConnectionLossThreshold = 0.05;
-constexpr Nanoseconds kCapacityLossTime = 5 * kSecond; // since attempts were last lost that often
+constexpr double kUnresponsiveRatio = 5;               // multiple of the mean latency without an outcome
+constexpr double kConnectionLossWeight = 0.1 / 4;      // weight of the newest attempt
+constexpr double kConnectionLossThreshold = 0.05;      // share of the attempts
+constexpr Nanoseconds kCapacityLossTime = 5 * kSecond; // since the loss rate last reached the threshold
 
 } // namespace
 
-// It may have been started while capacity was being lost.
+// Assumes a loss of capacity at first, because the instance may have been started during one.
 OutlierDetector::OutlierDetector(const EndpointSet &endpoints, const LatencyTracker &latency, Nanoseconds now)
     : endpoints_(endpoints), latency_(latency), capacityLossUntil_(now + kCapacityLossTime) {}
 
 void OutlierDetector::onConnectionOutcome(const Endpoint &endpoint, Outcome outcome, Nanoseconds now) {
-  // An answer that breaks off is no lost endpoint while the endpoint goes on answering others.
+  // A reset does not count as a lost endpoint while the endpoint answers other attempts.
   const bool isLost = outcome == Outcome::unreachable ||
                       (outcome == Outcome::reset && endpoint.health.consecutiveFailures > 0);
   connectionLossRate_ += kConnectionLossWeight * ((isLost ? 1 : 0) - connectionLossRate_);
@@ -43,7 +44,7 @@
   const bool isFailure = isHardFailure(outcome);
   const bool isRejection = outcome == Outcome::rejected;
   if (outcome == Outcome::succeeded)
-    health.latestSuccessSentAt = now - duration; // it had not left when that arrived
+    health.latestSuccessSentAt = now - duration; // the endpoint had not departed when the attempt arrived
   if (isRejection) health.latestSuccessSentAt = 0;
   health.failureRate += kFailureRateWeight * ((isFailure ? 1 : 0) - health.failureRate);
   health.consecutiveFailures = isFailure || isRejection ? health.consecutiveFailures + 1 : 0;
@@ -53,22 +54,24 @@
   const bool failsOften = health.consecutiveFailures >= kConsecutiveFailuresToEject ||
                           health.failureRate >= kFailureRateToEject;
   if (!failsOften) return;
-  const bool isOutlier = health.failureRate >= kOutlierRatio * betterQuarterFailureRate() + kOutlierMargin;
-  if (!isOutlier && !isRejection) return; // one that rejects is full, or drains unlisted
+  const bool isOutlier = health.failureRate >= kOutlierRatio * lowerQuartileFailureRate() + kOutlierMargin;
+  // An endpoint that rejects attempts is full, or is draining before the endpoint list says so.
+  if (!isOutlier && !isRejection) return;
   eject(endpoint, now, due);
 }
 
-// Guards against endpoints that hang, fail or are out of reach, a whole zone of them too. An ejection ends by
-// itself, and one attempt at a time tells whether the endpoint has recovered. Could harm where all endpoints
-// fail in turn: the better quarter must not.
+// Takes load off endpoints that hang, fail or are unreachable, including a whole zone of them. An ejection
+// expires, and single attempts then show whether the endpoint has recovered. Limitation: if all endpoints
+// fail in turn, ejections remove capacity; the comparison assumes that the best quarter of the endpoints does
+// not fail.
 void OutlierDetector::eject(Endpoint &endpoint, Nanoseconds now, DueActions &due) const {
   auto &health = endpoint.health;
-  const auto time = std::min(
+  const auto ejectionTime = std::min(
       kBaseEjectionTime << std::min(health.consecutiveEjections, kMaxEjectionDoublings), kMaxEjectionTime);
-  health.ejectedUntil = now + time;
+  health.ejectedUntil = now + ejectionTime;
   due.logLines.push_back(formatLine(
       "endpoint ejected for %lld ms: %d consecutive failures, failure rate %.2f",
-      static_cast<long long>(time / kMillisecond), health.consecutiveFailures, health.failureRate));
+      static_cast<long long>(ejectionTime / kMillisecond), health.consecutiveFailures, health.failureRate));
   ++health.consecutiveEjections;
   health.consecutiveFailures = kConsecutiveFailuresToEject - 1;
   health.failureRate = kFailureRateToEject / 2;
@@ -80,14 +83,14 @@
   endpoint.health.peerSuspicionUntil = peerSuspicionUntil;
 }
 
-// The failure rate below which a quarter of the endpoints stay: what a fault common to all looks like.
-double OutlierDetector::betterQuarterFailureRate() const {
+// The lower quartile of the endpoints' failure rates. A fault common to all endpoints raises it.
+double OutlierDetector::lowerQuartileFailureRate() const {
   std::vector<double> rates;
   for (const auto *endpoint : endpoints_.ready()) rates.push_back(endpoint->health.failureRate);
   if (rates.empty()) return 0;
-  const auto quarter = rates.begin() + std::ssize(rates) / 4;
-  std::ranges::nth_element(rates, quarter);
-  return *quarter;
+  const auto quartile = rates.begin() + std::ssize(rates) / 4;
+  std::ranges::nth_element(rates, quartile);
+  return *quartile;
 }
 
 bool OutlierDetector::isSuspect(const Endpoint &endpoint, Nanoseconds now) const {
@@ -97,8 +100,8 @@
 }
 
 bool OutlierDetector::isUnresponsive(const Endpoint &endpoint, Nanoseconds now) const {
-  const auto silence = static_cast<double>(now - endpoint.lastOutcomeAt);
-  return endpoint.inFlight > 0 && silence > kUnresponsiveRatio * latency_.mean();
+  const auto sinceLastOutcome = static_cast<double>(now - endpoint.lastOutcomeAt);
+  return endpoint.inFlight > 0 && sinceLastOutcome > kUnresponsiveRatio * latency_.mean();
 }
 
 bool OutlierDetector::failsPersistently(const Endpoint &endpoint) {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,4 +1,5 @@
-// Ejects endpoints that fail more than the others, for a time that doubles, and tells which are suspect.
+// Detects outliers: ejects endpoints that fail more often than the others, for a time that doubles with each
+// ejection, and reports which endpoints are suspect.
 #pragma once
 
 #include "policy/deployment.h"
@@ -12,28 +13,29 @@
 public:
   OutlierDetector(const EndpointSet &endpoints, const LatencyTracker &latency, Nanoseconds now);
 
-  // To be called with each outcome before onOutcome(), whatever the attempt says of the endpoint.
+  // Must be called with each outcome before onOutcome(), even if onOutcome() is not called for it.
   void onConnectionOutcome(const Endpoint &endpoint, Outcome outcome, Nanoseconds now);
-  // An attempt at the endpoint, sent since it started, is over.
+  // Must be called after each attempt that was sent to the endpoint since the endpoint started.
   void onOutcome(Endpoint &endpoint, Outcome outcome, Nanoseconds duration, Nanoseconds now, DueActions &due);
   // The endpoint was restarted or has another build: earlier measurements no longer apply.
   static void onEndpointReplaced(Endpoint &endpoint);
 
-  // Ejected, unresponsive, held to be failing by peers, or with an attempt in flight since its ejection that
-  // has not been answered yet.
+  // Whether the endpoint is ejected, unresponsive or reported as failing by peers, or has not yet answered an
+  // attempt in flight since its last ejection.
   bool isSuspect(const Endpoint &endpoint, Nanoseconds now) const;
-  // Whether it has not answered for several mean latencies while attempts are in flight (before the first
-  // outcome the mean is 0, so any endpoint with an attempt in flight counts). Guards against
-  // endpoints that hang or lose their answers, before any attempt has timed out. Could harm where one
-  // expensive request is all that an endpoint has in flight: it is then only chosen less.
+  // Whether the endpoint has attempts in flight and has returned no outcome for several mean latencies.
+  // Detects endpoints that hang or lose their answers before any attempt has timed out. Before the first
+  // outcome the mean is 0, so any endpoint with an attempt in flight counts as unresponsive. Limitation: an
+  // endpoint whose only attempt in flight is an expensive request also counts; it is only chosen less often.
   bool isUnresponsive(const Endpoint &endpoint, Nanoseconds now) const;
-  // Whether its last four or more attempts all failed or were rejected: a time-out or reset there is put down
-  // to the endpoint, not to its build.
+  // Whether the last four or more attempts at the endpoint all failed or were rejected. Timeouts and resets
+  // are then attributed to the endpoint and not to its build.
   static bool failsPersistently(const Endpoint &endpoint);
-  // Whether many attempts have lately found no endpoint, or lost it: its load is on the others then.
+  // Whether many recent attempts could not reach their endpoint or lost it, so that the remaining endpoints
+  // carry its load.
   bool isCapacityBeingLost(Nanoseconds now) const { return now < capacityLossUntil_; }
-  // The list may lack endpoints that have left since then: only those that have served an attempt sent later
-  // are used. 0: the list is trusted.
+  // Restricts routing to endpoints that have answered an attempt sent at the time `since` or later, because
+  // the endpoint list may contain endpoints that have departed since then. 0: the list is up to date.
   void requireSuccessSince(Nanoseconds since) { requiredSuccessSince_ = since; }
   Nanoseconds requiredSuccessSince() const { return requiredSuccessSince_; }
   bool hasRequiredSuccess(const Endpoint &endpoint) const {
@@ -42,12 +44,13 @@
 
 private:
   friend struct PolicyTestPeer;
-  double betterQuarterFailureRate() const;
+  double lowerQuartileFailureRate() const;
   void eject(Endpoint &endpoint, Nanoseconds now, DueActions &due) const;
 
   const EndpointSet &endpoints_;
   const LatencyTracker &latency_;
-  double connectionLossRate_ = 0; // share of the latest attempts that found no endpoint, or lost it
+  // Moving average: share of the attempts that could not reach their endpoint or lost it.
+  double connectionLossRate_ = 0;
   Nanoseconds capacityLossUntil_;
   Nanoseconds requiredSuccessSince_ = 0;
 };
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr double kMaxLatencyRatio = 1.5;     // of the objectives; also what a timed-out attempt counts as
-constexpr double kMedianStep = 0.02;         // of the median's estimate, for each outcome
-constexpr double kMaxMeanOverMedian = 2.5;   // beyond it the mean speaks of a few attempts' trouble
-constexpr double kRateAveragingTime = 0.5;   // seconds, of attempts in flight and completion rate
-constexpr double kObjectiveWeight = 0.1 / 4; // of the newest request
-constexpr double kProportionalGain = 0.5;    // shed at once for each unit above the overload ratio
-constexpr double kIntegralGain = 0.4;        // a second, for each unit above it
-constexpr double kIntegralEase = 2;          // a second, for each unit below it
-constexpr double kMaxShed = 0.95;            // some are admitted, to tell when the overload is over
-constexpr double kMaxIntegralShed = 0.7;
-constexpr double kLowestPriorityExponent = 0.7; // on the shed share
-constexpr double kHighestPriorityExponent = 2;  // on the shed share
-constexpr double kClientRetryFactor = 0.5; // on that exponent: such a request is likely to be late already
-constexpr double kLoggedShed = 0.05;       // from which shedding is logged
-constexpr double kMaxQuotaExcess = 2;      // seconds of its quota that a tenant may be ahead
+constexpr double kMaxLatencyRatio = 1.5;   // upper limit of the ratio, and the ratio of a timed-out attempt
+constexpr double kMedianStep = 0.02;       // change of the median's estimate per outcome
+constexpr double kMaxMeanOverMedian = 2.5; // of the latency ratio; a greater mean is caused by few attempts
+constexpr double kRateAveragingSeconds = 0.5; // for attempts in flight and the completion rate
+constexpr double kObjectiveWeight = 0.1 / 4;  // weight of the newest request
+constexpr double kProportionalGain = 0.5;     // shed share per unit above or below the overload ratio
+constexpr double kIntegralGain = 0.4;         // shed share per second and unit above the overload ratio
+constexpr double kIntegralReleaseGain = 2;    // shed share per second and unit below the overload ratio
+constexpr double kMaxShedShare = 0.95;        // admits a few requests, which show when the overload has ended
+constexpr double kMaxIntegralShedShare = 0.7;
+constexpr double kLowestPriorityExponent = 0.7; // on the shed share, at a relative priority weight of 0
+constexpr double kHighestPriorityExponent = 2;  // on the shed share, at a relative priority weight of 1
+constexpr double kClientRetryFactor = 0.5;   // on the exponent: the client's retry is probably late already
+constexpr double kLoggedShedShare = 0.05;    // shedding is logged from this share on
+constexpr double kMaxQuotaExcessSeconds = 2; // a tenant may exceed its quota by the requests of this time
 
 } // namespace
 
@@ -42,7 +42,8 @@
 
 void OverloadController::onOutcome(Outcome outcome) {
   --inFlight_;
-  completed_ += outcome == Outcome::succeeded || outcome == Outcome::failed; // others take no work away
+  // Other outcomes complete no work.
+  completed_ += outcome == Outcome::succeeded || outcome == Outcome::failed;
 }
 
 void OverloadController::onTimelyOutcome(const Route &route, Outcome outcome, Nanoseconds duration) {
@@ -55,57 +56,59 @@
 }
 
 void OverloadController::update(Nanoseconds now, DueActions &due) {
-  const double elapsed = inSeconds(now - updatedAt_);
-  if (elapsed <= 0) return;
+  const double elapsedSeconds = inSeconds(now - updatedAt_);
+  if (elapsedSeconds <= 0) return;
   updatedAt_ = now;
-  updateRates(elapsed, now);
-  updateShed(elapsed);
-  if (isLogged_ ? shed_ > 0 : shed_ < kLoggedShed) return;
-  isLogged_ = !isLogged_;
-  due.logLines.push_back(formatLine("%s: attempts take %.2f of their latency objectives, %d in flight",
-                                    isLogged_ ? "load shedding by priority" : "load shedding ended",
-                                    latencyRatio_, inFlight_));
+  updateRates(elapsedSeconds, now);
+  updateShedShare(elapsedSeconds);
+  if (isSheddingLogged_ ? shedShare_ > 0 : shedShare_ < kLoggedShedShare) return;
+  isSheddingLogged_ = !isSheddingLogged_;
+  due.logLines.push_back(
+      formatLine("%s: attempts take %.2f of their latency objectives, %d attempts in flight",
+                 isSheddingLogged_ ? "load shedding by priority started" : "load shedding ended",
+                 latencyRatio_, inFlight_));
 }
 
-void OverloadController::updateRates(double elapsed, Nanoseconds now) {
-  const double weight = std::min(1.0, elapsed / kRateAveragingTime);
-  int atAnswering = 0;
-  int atSuspect = 0;
+void OverloadController::updateRates(double elapsedSeconds, Nanoseconds now) {
+  const double weight = std::min(1.0, elapsedSeconds / kRateAveragingSeconds);
+  int inFlightAtOthers = 0;
+  int inFlightAtSuspects = 0;
   for (const auto *endpoint : endpoints_.ready())
-    (outliers_.isSuspect(*endpoint, now) ? atSuspect : atAnswering) += endpoint->inFlight;
-  meanInFlight_ += weight * ((atAnswering > 0 ? atAnswering : atSuspect) - meanInFlight_);
-  completionRate_ += weight * (completed_ / elapsed - completionRate_);
+    (outliers_.isSuspect(*endpoint, now) ? inFlightAtSuspects : inFlightAtOthers) += endpoint->inFlight;
+  meanInFlight_ += weight * ((inFlightAtOthers > 0 ? inFlightAtOthers : inFlightAtSuspects) - meanInFlight_);
+  completionRate_ += weight * (completed_ / elapsedSeconds - completionRate_);
   completed_ = 0;
   for (std::size_t i = 0; i < quotaExcess_.size(); ++i)
-    quotaExcess_[i] = std::max(quotaExcess_[i] - deployment_.tenantQuotas[i] * elapsed, 0.0);
+    quotaExcess_[i] = std::max(quotaExcess_[i] - deployment_.tenantQuotas[i] * elapsedSeconds, 0.0);
 }
 
-void OverloadController::updateShed(double elapsed) {
-  const double attemptTime = meanInFlight_ / std::max(completionRate_, 1.0); // seconds
-  latencyRatio_ = meanObjective_ > 0 ? std::min({attemptTime / meanObjective_,
+void OverloadController::updateShedShare(double elapsedSeconds) {
+  const double latencySeconds = meanInFlight_ / std::max(completionRate_, 1.0);
+  latencyRatio_ = meanObjective_ > 0 ? std::min({latencySeconds / meanObjective_,
                                                  kMaxMeanOverMedian * medianLatencyRatio_, kMaxLatencyRatio})
                                      : 0;
   const double excess = latencyRatio_ - kOverloadRatio;
-  const double gain = excess > 0 ? kIntegralGain : kIntegralEase;
-  integralShed_ = std::clamp(integralShed_ + gain * excess * elapsed, 0.0, kMaxIntegralShed);
-  shed_ = std::clamp(integralShed_ + kProportionalGain * excess, 0.0, kMaxShed);
+  const double gain = excess > 0 ? kIntegralGain : kIntegralReleaseGain;
+  integralShedShare_ = std::clamp(integralShedShare_ + gain * excess * elapsedSeconds, 0.0,
+                                  kMaxIntegralShedShare);
+  shedShare_ = std::clamp(integralShedShare_ + kProportionalGain * excess, 0.0, kMaxShedShare);
 }
 
 bool OverloadController::isOverQuota(std::size_t tenant) const {
   return tenant < quotaExcess_.size() &&
-         quotaExcess_[tenant] > deployment_.tenantQuotas[tenant] * kMaxQuotaExcess;
+         quotaExcess_[tenant] > deployment_.tenantQuotas[tenant] * kMaxQuotaExcessSeconds;
 }
 
 double OverloadController::shedFraction(const Request &request) const {
-  double greatest = 0;
-  for (const auto &route : deployment_.routes) greatest = std::max(greatest, route.priorityWeight);
+  double maxWeight = 0;
+  for (const auto &route : deployment_.routes) maxWeight = std::max(maxWeight, route.priorityWeight);
   const auto &route = deployment_.routes[static_cast<std::size_t>(request.route)];
-  const double weight = route.priorityWeight / greatest *
-                        (isOverQuota(request.tenant) ? deployment_.overQuotaWeight : 1);
+  const double relativeWeight = route.priorityWeight / maxWeight *
+                                (isOverQuota(request.tenant) ? deployment_.overQuotaWeight : 1);
   const double factor = request.isClientRetry ? kClientRetryFactor : 1;
-  const double spread = kHighestPriorityExponent - kLowestPriorityExponent;
-  // shed_ is below 1, so a smaller exponent sheds more.
-  return std::pow(shed_, factor * (kLowestPriorityExponent + spread * weight));
+  const double exponentRange = kHighestPriorityExponent - kLowestPriorityExponent;
+  // shedShare_ is below 1, so a smaller exponent sheds more.
+  return std::pow(shedShare_, factor * (kLowestPriorityExponent + exponentRange * relativeWeight));
 }
 
 } // namespace myrtlehead
--- a/src/policy/overload_controller.h
+++ b/src/policy/overload_controller.h
@@ -1,9 +1,10 @@
-// Sheds a part of the requests while attempts take too long, low priority first.
+// Sheds a share of the requests while attempts take too long, low priority first, whatever the cause of the
+// overload.
 //
-// By Little's law, attempts in flight divided by the completion rate estimate the latency before late
-// attempts complete. A proportional-integral controller derives the share to shed from the ratio of this
-// estimate to the latency objective. The median outcome caps the estimate, so that a few lost attempts cause
-// no shedding. Guards against overload of any cause. Reacts late where traffic is low.
+// By Little's law, the number of attempts in flight divided by the completion rate estimates the latency
+// before late attempts complete. A proportional-integral controller derives the share to shed from the ratio
+// of this estimate to the latency objective. The median latency of the outcomes caps the estimate, so that a
+// few lost attempts cause no shedding. Limitation: reacts late if traffic is low.
 #pragma once
 
 #include "policy/deployment.h"
@@ -23,43 +24,44 @@
 
   void onRequest(const Request &request);
   void onAttempt() { ++inFlight_; }
-  // Any attempt is over.
+  // Must be called after each attempt.
   void onOutcome(Outcome outcome);
-  // An attempt is over that no stall of this instance has delayed. duration: that it took.
+  // Must be called after each attempt that was not delayed by a stall of this instance.
   void onTimelyOutcome(const Route &route, Outcome outcome, Nanoseconds duration);
-  // To be called often: takes up what has completed since the last call.
+  // Updates the shed share from the completions since the last call. Must be called often.
   void update(Nanoseconds now, DueActions &due);
 
-  // The part of such requests to shed, from 0 to 1.
+  // The probability with which to shed the request, from 0 to 1.
   double shedFraction(const Request &request) const;
-  bool isShedding() const { return shed_ > 0; }
-  // Whether attempts take more than half of their latency objectives.
+  bool isShedding() const { return shedShare_ > 0; }
+  // Whether attempts take more than kOverloadRatio of their latency objectives.
   bool isOverloaded() const { return latencyRatio_ > kOverloadRatio; }
+  // Whether attempts take at most kSpareCapacityRatio of their latency objectives.
   bool hasSpareCapacity() const { return latencyRatio_ <= kSpareCapacityRatio; }
 
 private:
   friend struct PolicyTestPeer;
-  static constexpr double kOverloadRatio = 0.5;       // of the objectives, from which requests are shed
-  static constexpr double kSpareCapacityRatio = 0.25; // of the objectives
+  static constexpr double kOverloadRatio = 0.5;       // share of the objective above which requests are shed
+  static constexpr double kSpareCapacityRatio = 0.25; // share of the objective
 
   bool isOverQuota(std::size_t tenant) const;
-  void updateRates(double elapsed, Nanoseconds now);
-  void updateShed(double elapsed);
+  void updateRates(double elapsedSeconds, Nanoseconds now);
+  void updateShedShare(double elapsedSeconds);
 
   const Deployment &deployment_;
   const EndpointSet &endpoints_;
   const OutlierDetector &outliers_;
-  int inFlight_ = 0;                // own attempts
+  int inFlight_ = 0;                // attempts of this instance
   double completed_ = 0;            // attempts answered since updatedAt_
-  double meanInFlight_ = 0;         // attempts at endpoints that answer
-  double completionRate_ = 0;       // attempts a second
-  double meanObjective_ = 0;        // of the requests received, in seconds
-  double latencyRatio_ = 0;         // time that attempts take, as a part of the objectives
-  double medianLatencyRatio_ = 0;   // the median of the same, outcome by outcome
+  double meanInFlight_ = 0;         // moving average: attempts in flight at endpoints that are not suspect
+  double completionRate_ = 0;       // moving average: completed attempts per second
+  double meanObjective_ = 0;        // moving average: latency objective of the requests, in seconds
+  double latencyRatio_ = 0;         // estimated latency divided by the latency objective
+  double medianLatencyRatio_ = 0;   // moving median of latency divided by latency objective
   std::vector<double> quotaExcess_; // by tenant: requests beyond its quota
-  double integralShed_ = 0;         // the part of shed_ that builds up
-  double shed_ = 0;                 // share of the requests
-  bool isLogged_ = false;           // that requests are shed
+  double integralShedShare_ = 0;    // integral term of shedShare_
+  double shedShare_ = 0;            // share of the requests to shed, before weighting by priority
+  bool isSheddingLogged_ = false;   // the last log line said that requests are shed
   Nanoseconds updatedAt_;
 };
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr double kRetriesPerRequest = 0.2;
-constexpr double kSuspectTimeShare = 0.5; // of the objective, at an endpoint that has just failed
-constexpr double kMaxQueuedShare = 0.5;   // of the objective
-constexpr int kLatestAttemptTicks = 2;    // before the deadline: the final answer must leave in time
-constexpr int kLatestRetryTicks = 4;      // before the deadline
-constexpr int kRetryAfterMeanLatencies = 2;
+constexpr double kSuspectTimeoutShare = 0.5; // timeout at a suspect endpoint, as a share of the objective
+constexpr double kMaxQueuedShare = 0.5;      // maximum wait for an endpoint, as a share of the objective
+constexpr int kLatestAttemptTicks = 2;       // before the deadline, so that the final answer is sent in time
+constexpr int kLatestRetryTicks = 4;         // before the deadline
+constexpr int kRetryAfterMeanLatencies = 2;  // retry-after delay as a multiple of the mean latency
 
 } // namespace
 
@@ -25,7 +25,7 @@
 
 void RetryPolicy::onRequest() { budget_ = std::min(budget_ + kRetriesPerRequest, kMaxBudget); }
 
-bool RetryPolicy::isTooLate(const Request &request, Nanoseconds now) const {
+bool RetryPolicy::isTooCloseToDeadline(const Request &request, Nanoseconds now) const {
   return request.deadline - now <= kLatestAttemptTicks * deployment_.tickInterval;
 }
 
@@ -40,7 +40,7 @@
   if (request.answerStarted) return false;
   if (request.deadline - now <= kLatestRetryTicks * deployment_.tickInterval) return false;
   if (now + deployment_.tickInterval > sendBy(request)) return false;
-  // While requests are shed, no work is done twice.
+  // While requests are shed, no work is repeated.
   return !overload_.isShedding() || std::ranges::none_of(attempts, &Attempt::mayHaveExecuted);
 }
 
@@ -55,16 +55,16 @@
 Nanoseconds RetryPolicy::attemptTimeout(const Request &request, const Endpoint &endpoint,
                                         Nanoseconds now) const {
   const auto &route = routeOf(request);
-  // The final answer must leave before the client's deadline, whatever the tick.
+  // The final answer must be sent before the client's deadline, even if timers fire late by a tick.
   const Nanoseconds timeout = request.deadline - now - kLatestAttemptTicks * deployment_.tickInterval;
-  const bool mayFollow = route.idempotency != Idempotency::notIdempotent && budget_ >= 1 &&
-                         static_cast<int>(request.attempts.size()) + 1 < deployment_.maxAttempts;
+  const bool canBeRetried = route.idempotency != Idempotency::notIdempotent && budget_ >= 1 &&
+                            static_cast<int>(request.attempts.size()) + 1 < deployment_.maxAttempts;
   const auto &health = endpoint.health;
-  const bool failsNow = health.consecutiveFailures > 0 || outliers_.isUnresponsive(endpoint, now);
-  const bool isDoubted = health.consecutiveEjections > 0 || (failsNow && !overload_.isShedding());
-  if (!mayFollow || !isDoubted) return timeout;
-  return std::min(timeout,
-                  static_cast<Nanoseconds>(kSuspectTimeShare * static_cast<double>(route.latencyObjective)));
+  const bool isFailing = health.consecutiveFailures > 0 || outliers_.isUnresponsive(endpoint, now);
+  const bool isSuspect = health.consecutiveEjections > 0 || (isFailing && !overload_.isShedding());
+  if (!canBeRetried || !isSuspect) return timeout;
+  return std::min(
+      timeout, static_cast<Nanoseconds>(kSuspectTimeoutShare * static_cast<double>(route.latencyObjective)));
 }
 
 bool RetryPolicy::allows(const Request &request, const Endpoint &endpoint) const {
@@ -78,16 +78,16 @@
   });
 }
 
-bool RetryPolicy::maySayHarmless(const Request &request) const {
+bool RetryPolicy::isClientRetrySafe(const Request &request) const {
   const auto &route = routeOf(request);
   if (route.idempotency == Idempotency::idempotent) return true;
-  const bool isKnownAnywhere = route.idempotency == Idempotency::idempotentWithKey &&
-                               route.idempotencyScope == IdempotencyScope::anywhere;
-  return isKnownAnywhere || std::ranges::none_of(request.attempts, &Attempt::mayHaveExecuted);
+  const bool isKeyKnownAnywhere = route.idempotency == Idempotency::idempotentWithKey &&
+                                  route.idempotencyScope == IdempotencyScope::anywhere;
+  return isKeyKnownAnywhere || std::ranges::none_of(request.attempts, &Attempt::mayHaveExecuted);
 }
 
 RoutingDecision RetryPolicy::giveUp(const Request &request) const {
-  if (!maySayHarmless(request)) return {RoutingDecision::fail};
+  if (!isClientRetrySafe(request)) return {RoutingDecision::fail};
   RoutingDecision decision{RoutingDecision::shed};
   if (deployment_.sendsRetryAfter)
     decision.retryAfter = std::min(deployment_.maxRetryAfter,
@@ -96,7 +96,7 @@
 }
 
 bool RetryPolicy::ranLongEnoughForEvidence(Nanoseconds duration, Nanoseconds latencyObjective) {
-  return !(2 * duration < latencyObjective * kSuspectTimeShare);
+  return !(2 * duration < latencyObjective * kSuspectTimeoutShare);
 }
 
 } // namespace myrtlehead
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,9 +1,10 @@
-// Whether and until when a request may be retried, how long an attempt may take, and how a request that is
-// given up ends.
+// Decides whether and until when a request may be retried, how long an attempt may take, and how a request
+// ends that gets no further attempt.
 //
-// What may have been executed is repeated freely if its route is idempotent, within the idempotency window
-// that the first such attempt has opened if it carries a key, and otherwise never. Retries have a budget, a
-// part of the requests received.
+// If an attempt may have been executed, the request is retried at any time if its route is idempotent, and
+// within the idempotency window if it carries an idempotency key; otherwise it is not retried. The window
+// starts at the first attempt that may have been executed. Retries are limited to a share of the requests
+// received.
 #pragma once
 
 #include "policy/deployment.h"
@@ -23,33 +24,34 @@
   void onRetry() { budget_ -= 1; }
 
   // Whether the request is too close to its deadline for an attempt.
-  bool isTooLate(const Request &request, Nanoseconds now) const;
-  // Whether a request that found no endpoint has been queued for as long as it may be.
+  bool isTooCloseToDeadline(const Request &request, Nanoseconds now) const;
+  // Whether a request that found no endpoint has waited for the maximum time.
   bool isQueuedTooLong(const Request &request, Nanoseconds now) const;
   bool mayRetry(const Request &request, Nanoseconds now) const;
-  // By when the last byte of the next attempt must have left; kNoDeadline: at any time.
+  // The time by which the last byte of the next attempt must be sent; kNoDeadline: at any time.
   Nanoseconds sendBy(const Request &request) const;
-  // How long the next attempt, at that endpoint, may take.
+  // The maximum duration of the next attempt if it is sent to the endpoint.
   Nanoseconds attemptTimeout(const Request &request, const Endpoint &endpoint, Nanoseconds now) const;
-  // Whether the endpoint recognises a repeat of the request, where that matters.
+  // Whether the request may go to the endpoint: if an attempt may have been executed, the endpoint must be in
+  // the scope of the idempotency key.
   bool allows(const Request &request, const Endpoint &endpoint) const;
-  // The request's end without an answer: shed, which says that a retry is harmless, or else failed.
+  // The decision that ends the request without an answer: shed if a retry by the client is safe, else fail.
   RoutingDecision giveUp(const Request &request) const;
-  // Whether a timed-out attempt ran for at least half the time that a suspect endpoint is given (a quarter of
-  // the latency objective). A shorter one is no evidence against the endpoint.
+  // Whether a timed-out attempt ran for at least half the timeout of a suspect endpoint, which is a quarter
+  // of the latency objective. A shorter attempt is no evidence against the endpoint.
   static bool ranLongEnoughForEvidence(Nanoseconds duration, Nanoseconds latencyObjective);
 
 private:
   friend struct PolicyTestPeer;
-  static constexpr double kMaxBudget = 10; // retries saved up
+  static constexpr double kMaxBudget = 10; // retries that can be saved up
   const Route &routeOf(const Request &request) const;
-  bool maySayHarmless(const Request &request) const;
+  bool isClientRetrySafe(const Request &request) const;
 
   const Deployment &deployment_;
   const LatencyTracker &latency_;
   const OutlierDetector &outliers_;
   const OverloadController &overload_;
-  double budget_ = kMaxBudget; // retries
+  double budget_ = kMaxBudget; // number of retries
 };
 
 } // namespace myrtlehead
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr Nanoseconds kRecheckInterval = 20 * kMillisecond; // of a request that waits for an endpoint
+constexpr Nanoseconds kRecheckInterval = 20 * kMillisecond; // for requests that wait for an endpoint
 
-// As if each instance had a like part of the traffic.
+// Divides the quotas evenly, as if all instances received the same traffic.
 Deployment withQuotasPerInstance(Deployment deployment) {
   for (auto &quota : deployment.tenantQuotas) quota /= deployment.instanceCount;
   return deployment;
 }
 
-RandomEngine seeded(std::uint64_t seed) {
+RandomEngine makeSeededEngine(std::uint64_t seed) {
   RandomEngine random;
   random.seed(static_cast<RandomEngine::result_type>(seed ^ seed >> 32));
   return random;
@@ -26,8 +26,8 @@
 } // namespace
 
 RoutingPolicy::RoutingPolicy(Deployment deployment, std::uint64_t seed, Nanoseconds now)
-    : deployment_(withQuotasPerInstance(std::move(deployment))), random_(seeded(seed)), stalls_(now),
-      rollout_(deployment_, endpoints_), latency_(deployment_),
+    : deployment_(withQuotasPerInstance(std::move(deployment))), random_(makeSeededEngine(seed)),
+      stalls_(now), rollout_(deployment_, endpoints_), latency_(deployment_),
       slowStart_(deployment_, rollout_, endpoints_, now), outliers_(endpoints_, latency_, now),
       overload_(deployment_, endpoints_, outliers_, now),
       retries_(deployment_, latency_, outliers_, overload_), exposure_(deployment_, rollout_, endpoints_),
@@ -41,7 +41,7 @@
   stalls_.onActivity(endpoints_, now, due_);
   if (request.finished || request.answerStarted || request.inFlight > 0) return {};
   if (!request.counted) countRequest(request);
-  if (retries_.isTooLate(request, now)) return giveUp(request);
+  if (retries_.isTooCloseToDeadline(request, now)) return giveUp(request);
   if (request.attempts.empty() && drawUniform(random_) < overload_.shedFraction(request))
     return giveUp(request);
   if (auto *endpoint = selector_.choose(request, now, random_)) return forward(request, *endpoint, now);
@@ -57,10 +57,10 @@
   retries_.onRequest();
 }
 
-RoutingDecision RoutingPolicy::onAttemptFinished(Request &request, std::size_t index, Outcome outcome,
+RoutingDecision RoutingPolicy::onAttemptFinished(Request &request, std::size_t attemptIndex, Outcome outcome,
                                                  Nanoseconds duration, bool isAnswered, Nanoseconds now) {
   stalls_.onActivity(endpoints_, now, due_);
-  auto &attempt = request.attempts[index];
+  auto &attempt = request.attempts[attemptIndex];
   if (!attempt.inFlight) return {};
   attempt.inFlight = false;
   attempt.mayHaveExecuted = !provesNotExecuted(outcome);
@@ -82,7 +82,8 @@
   outliers_.onConnectionOutcome(endpoint, outcome, now);
   overload_.onOutcome(outcome);
   if (!stalls_.stalledSince(attempt.sentAt)) {
-    if (attempt.sentAt >= endpoint.info.startedAt) { // otherwise it speaks of an earlier incarnation
+    // An attempt sent before the start of the endpoint went to an earlier incarnation.
+    if (attempt.sentAt >= endpoint.info.startedAt) {
       latency_.onOutcome(endpoint, outcome, duration, now);
       outliers_.onOutcome(endpoint, outcome, duration, now, due_);
     }
@@ -170,7 +171,8 @@
   if (report && isFusionCenter(deployment_)) fusion_.onReport(from, *report, due_);
 }
 
-// A report speaks of the build that the endpoint ran when the answer was sent.
+// The report is evidence about the build that the endpoint ran when it sent the answer, so it is ignored if
+// the endpoint has started since then.
 void RoutingPolicy::onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds sentAgo, Nanoseconds now) {
   if (now - sentAgo >= endpoint.info.startedAt) test_.onWrongAnswer(endpoint.info.build, due_);
 }
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -1,9 +1,9 @@
-// The decisions of one instance: where each request goes, what follows each outcome, what is voted on the
-// newest build. The rules stand in the classes of this folder, one rule a class; this class owns them and
-// says in which order they are asked.
+// The routing policy of one instance decides where each request goes, what follows each outcome and how the
+// instance votes on the newest build. The other classes in this directory implement one rule each; this class
+// owns them and defines the order in which they are applied.
 //
-// No I/O: the caller passes the time, carries out what is decided and notifies of what has happened. All
-// randomness comes from the seed.
+// The policy does no I/O: the caller passes the current time, carries out the decisions and reports events.
+// All randomness comes from the seed.
 #pragma once
 
 #include "policy/build_selector.h"
@@ -34,16 +34,19 @@
   RoutingPolicy(const RoutingPolicy &) = delete;
   RoutingPolicy &operator=(const RoutingPolicy &) = delete;
 
-  // What to do with a request that has no attempt in flight.
+  // Decides about a request that has no attempt in flight.
   RoutingDecision route(Request &request, Nanoseconds now);
-  // What to do after an attempt. attempt: its index in the request; isAnswered: the client has its answer.
-  RoutingDecision onAttemptFinished(Request &request, std::size_t attempt, Outcome outcome,
+  // Decides about a request after an attempt. attemptIndex: index into Request::attempts. isAnswered: the
+  // client has received its final answer.
+  RoutingDecision onAttemptFinished(Request &request, std::size_t attemptIndex, Outcome outcome,
                                     Nanoseconds duration, bool isAnswered, Nanoseconds now);
-  // Until route() should be called again for a request that waits; 0: an outcome is awaited.
+  // Delay until route() should be called again for a waiting request; 0: an attempt is in flight, so
+  // onAttemptFinished() comes next.
   Nanoseconds recheckDelay(const Request &request) const;
-  // Until runDueTasks() should be called again.
+  // Delay until runDueTasks() should be called again.
   Nanoseconds dueTaskInterval() const { return StallDetector::kCheckInterval; }
-  // To be called after each batch of notifications, and every dueTaskInterval().
+  // Must be called after each batch of notifications, and every dueTaskInterval(). Returns the votes,
+  // messages and log lines since the last call.
   DueActions runDueTasks(Nanoseconds now);
 
   // Notifications of the endpoint list.
@@ -65,7 +68,7 @@
   void onAnswerStarted(Request &request) { request.answerStarted = true; }
   void onClientDisconnected(Request &request) { request.finished = true; }
 
-  // As configured, but tenants' quotas are this instance's part of them.
+  // The deployment as configured, except that tenantQuotas holds this instance's share of the quotas.
   const Deployment &deployment() const { return deployment_; }
   std::deque<Endpoint> &endpoints() { return endpoints_.all(); }
   const std::vector<Endpoint *> &readyEndpoints() const { return endpoints_.ready(); }
@@ -96,7 +99,7 @@
   RolloutVoter voter_;
   LoadBalancer balancer_;
   BuildSelector selector_;
-  DueActions due_; // until runDueTasks() returns them
+  DueActions due_; // collected until runDueTasks() returns them
 };
 
 } // namespace myrtlehead
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr double kColdBudgetShare = 0.6; // of the allowed load on a cold endpoint
-constexpr double kMaxSavedWindow = 0.25; // of the budget's window, saved up as tokens
+constexpr double kColdBudgetShare = 0.6;      // share of the permitted load on a cold endpoint that is used
+constexpr double kMaxBurstWindowShare = 0.25; // tokens saved up at most, as a share of the budget's window
 constexpr Nanoseconds kRateUpdateInterval = kSecond / 2;
-constexpr double kRateDecay = 0.1;              // of the sums, at each update
-constexpr double kInitialCompletionShare = 0.5; // of the own requests, until one is completed
+constexpr double kRateDecay = 0.1;              // share that the sums lose at each update
+constexpr double kInitialCompletionShare = 0.5; // assumed share of completed requests before the first one
 
 } // namespace
 
@@ -27,9 +27,9 @@
                               ? std::min(maxRateMultiple, kColdBudgetShare * deployment_.coldBudgetMultiple)
                               : maxRateMultiple;
   if (multiple == kUnlimitedRateMultiple) return true;
-  const double rate = multiple * warmup * completionRate_ / 1e9; // attempts a nanosecond
+  const double rate = multiple * warmup * completionRate_ / 1e9; // attempts per nanosecond
   const double maxTokens = std::max(
-      rate * static_cast<double>(deployment_.coldBudgetWindow) * kMaxSavedWindow, 1.0);
+      rate * static_cast<double>(deployment_.coldBudgetWindow) * kMaxBurstWindowShare, 1.0);
   auto &bucket = endpoint.slowStart;
   bucket.tokens = std::min(bucket.tokens + rate * static_cast<double>(now - bucket.refilledAt), maxTokens);
   bucket.refilledAt = now;
@@ -41,7 +41,7 @@
 }
 
 void SlowStart::onSuccess(const Endpoint &endpoint, Nanoseconds now) {
-  completedAtWarm_ += warmupFraction(endpoint, now) >= 1;
+  warmCompletions_ += warmupFraction(endpoint, now) >= 1;
 }
 
 void SlowStart::onEndpointReplaced(Endpoint &endpoint, Nanoseconds now, RandomEngine &random) {
@@ -49,15 +49,16 @@
   endpoint.slowStart.refilledAt = now;
 }
 
-// While the baseline keeps all its endpoints, they alone are counted, but the candidate's completions are
-// included: the rate is then what each of them would complete without the candidate.
+// While the baseline keeps all its endpoints, only they are counted as warm endpoints, but completions at the
+// candidate are included. The completion rate is then the rate of a baseline endpoint without a candidate.
 bool SlowStart::countsAsWarm(const Endpoint &endpoint, Nanoseconds now) const {
   if (warmupFraction(endpoint, now) < 1) return false;
   return !(deployment_.rollout.keepsBaselineUntilRelease && rollout_.isCandidate(endpoint.info.build));
 }
 
-// Completions are counted, not attempts: attempts say nothing in a storm of retries. Sum and time decay
-// alike, so the rate of an instance with little traffic is right on average from its first second on.
+// Counts completions and not attempts, because retries raise the number of attempts in an overload. The sums
+// of completions and of time decay equally, so the rate is unbiased from the first second on, even for an
+// instance with little traffic.
 void SlowStart::updateCompletionRate(Nanoseconds now) {
   const Nanoseconds span = now - rateUpdatedAt_;
   if (span < kRateUpdateInterval) return;
@@ -65,17 +66,17 @@
   const auto warm = std::ranges::count_if(
       ready, [&](const Endpoint *endpoint) { return countsAsWarm(*endpoint, now); });
   if (warm > 0) {
-    completedPerEndpoint_ += completedAtWarm_ / static_cast<double>(warm) -
-                             kRateDecay * completedPerEndpoint_;
+    completionsPerEndpoint_ += warmCompletions_ / static_cast<double>(warm) -
+                               kRateDecay * completionsPerEndpoint_;
     completionSeconds_ += inSeconds(span) - kRateDecay * completionSeconds_;
-    completionRate_ = completedPerEndpoint_ / completionSeconds_;
+    completionRate_ = completionsPerEndpoint_ / completionSeconds_;
   }
-  // Guards a new incarnation that meets cold endpoints alone: until a warm one has completed something for
-  // it, it goes by half of what it receives itself, spread over all.
-  if (completedPerEndpoint_ <= 0 && !ready.empty())
+  // A new incarnation may find only cold endpoints. Until a warm endpoint has completed a request, it assumes
+  // that half of its received requests are completed, evenly spread over all endpoints.
+  if (completionsPerEndpoint_ <= 0 && !ready.empty())
     completionRate_ = kInitialCompletionShare * requestsReceived_ * 1e9 / static_cast<double>(span) /
                       static_cast<double>(ready.size());
-  completedAtWarm_ = 0;
+  warmCompletions_ = 0;
   requestsReceived_ = 0;
   rateUpdatedAt_ = now;
 }
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,10 +1,10 @@
-// Limits the load on endpoints that are warming up: an endpoint that is not yet warm gets a part of the load
-// that its present capacity allows.
+// Limits the load on endpoints that are warming up to the part that their current capacity allows.
 //
-// Limits the rate of attempts at a cold endpoint to a multiple of what a warm one completes for this
-// instance. As each instance does so, the total stays within the endpoint's capacity, also when many
-// endpoints start at once. The token bucket starts at a random level, so that instances do not send their
-// first attempts together, and an instance with little traffic still sends one now and then.
+// Each instance limits its attempts at a cold endpoint, by a token bucket, to a multiple of the rate at which
+// a warm endpoint completes requests for this instance. Because all instances do so, their total stays within
+// the endpoint's capacity, even if many endpoints start at once. The bucket starts at a random level, so that
+// the instances do not send their first attempts at the same time, and so that an instance with little
+// traffic still sends an attempt now and then.
 #pragma once
 
 #include "policy/deployment.h"
@@ -20,11 +20,11 @@
             Nanoseconds now)
       : deployment_(deployment), rollout_(rollout), endpoints_(endpoints), rateUpdatedAt_(now) {}
 
-  // The least share of its capacity that an endpoint has by now; 1: it is warm.
+  // The share of its full capacity that an endpoint has at least, from 0 to 1; 1: the endpoint is warm.
   double warmupFraction(const Endpoint &endpoint, Nanoseconds now) const;
-  // Whether the endpoint may be sent one more attempt now. maxRateMultiple: most that it may get, as a
-  // multiple of what a warm endpoint completes, scaled by its warm-up fraction; kUnlimitedRateMultiple: no
-  // limit on a warm one. Refills the endpoint's tokens.
+  // Whether one more attempt may be sent to the endpoint now. Refills the endpoint's tokens. maxRateMultiple
+  // is the maximum rate of attempts as a multiple of a warm endpoint's completion rate, scaled by the warm-up
+  // fraction; kUnlimitedRateMultiple sets no limit for a warm endpoint.
   bool hasCapacity(Endpoint &endpoint, double maxRateMultiple, Nanoseconds now) const;
 
   void onRequest() { ++requestsReceived_; }
@@ -32,7 +32,7 @@
   void onSuccess(const Endpoint &endpoint, Nanoseconds now);
   // The endpoint was restarted or has another build: earlier measurements no longer apply.
   static void onEndpointReplaced(Endpoint &endpoint, Nanoseconds now, RandomEngine &random);
-  // To be called often: takes up what warm endpoints have completed, every half second.
+  // Updates the completion rate of warm endpoints every half second. Must be called more often than that.
   void updateCompletionRate(Nanoseconds now);
 
   static constexpr double kUnlimitedRateMultiple = 1e9;
@@ -44,11 +44,13 @@
   const Deployment &deployment_;
   const RolloutTracker &rollout_;
   const EndpointSet &endpoints_;
-  double completionRate_ = 0;       // requests a second that a warm endpoint completes for this instance
-  double completedPerEndpoint_ = 0; // decaying sum, with the time of which it is the quotient
-  double completionSeconds_ = 0;
-  double completedAtWarm_ = 0;  // since rateUpdatedAt_
-  double requestsReceived_ = 0; // since rateUpdatedAt_
+  // Requests per second that a warm endpoint completes for this instance: the quotient of the two decaying
+  // sums.
+  double completionRate_ = 0;
+  double completionsPerEndpoint_ = 0; // decaying sum
+  double completionSeconds_ = 0;      // decaying sum
+  double warmCompletions_ = 0;        // completions at warm endpoints since rateUpdatedAt_
+  double requestsReceived_ = 0;       // since rateUpdatedAt_
   Nanoseconds rateUpdatedAt_;
 };
 
--- a/src/policy/stall_detector.cpp
+++ b/src/policy/stall_detector.cpp
@@ -10,7 +10,8 @@
   if (gap <= kStallThreshold) return;
   lastStallEnd_ = now;
   for (auto &endpoint : endpoints.all()) endpoint.lastOutcomeAt += gap;
-  due.logLines.push_back(formatLine("stalled for %lld ms", static_cast<long long>(gap / kMillisecond)));
+  due.logLines.push_back(
+      formatLine("this instance stalled for %lld ms", static_cast<long long>(gap / kMillisecond)));
 }
 
 } // namespace myrtlehead
--- a/src/policy/stall_detector.h
+++ b/src/policy/stall_detector.h
@@ -1,5 +1,5 @@
-// Guards against spells in which this instance itself stood still: no endpoint was unresponsive then, and
-// outcomes of attempts sent before say nothing of anybody else.
+// Detects periods in which this instance itself did not run. During a stall no endpoint was unresponsive, and
+// the outcomes of attempts sent before its end are no evidence about an endpoint or a build.
 #pragma once
 
 #include "policy/due_actions.h"
@@ -11,9 +11,10 @@
 public:
   explicit StallDetector(Nanoseconds now) : lastActiveAt_(now) {}
 
-  // To be called whenever the instance decides anything, and every kCheckInterval at least.
+  // Must be called before each decision, and at least every kCheckInterval. After a stall, moves
+  // Endpoint::lastOutcomeAt forward by its duration.
   void onActivity(EndpointSet &endpoints, Nanoseconds now, DueActions &due);
-  // Whether an attempt sent at that time may have been hit by a stall of this instance.
+  // Whether a stall has ended after the time `sentAt`, so that it may have delayed an attempt sent then.
   bool stalledSince(Nanoseconds sentAt) const { return sentAt < lastStallEnd_; }
   Nanoseconds lastActiveAt() const { return lastActiveAt_; }
 
@@ -21,6 +22,7 @@
 
 private:
   friend struct PolicyTestPeer;
+  // A gap between two calls of onActivity() that is longer than this is a stall.
   static constexpr Nanoseconds kStallThreshold = 3 * kCheckInterval;
 
   Nanoseconds lastActiveAt_;
--- a/src/policy/sticky_keys.cpp
+++ b/src/policy/sticky_keys.cpp
@@ -4,9 +4,9 @@
 
 bool StickyKeys::allows(const Request &request, const Endpoint &endpoint) const {
   if (!isEnabled_ || request.key == 0) return true;
-  if (endpoint.info.build == kUnknownBuild) return false; // it might be an earlier one
-  const auto known = builds_.find(request.key);
-  return known == builds_.end() || endpoint.info.build >= known->second;
+  if (endpoint.info.build == kUnknownBuild) return false; // may be an earlier build
+  const auto entry = builds_.find(request.key);
+  return entry == builds_.end() || endpoint.info.build >= entry->second;
 }
 
 void StickyKeys::onSuccess(const Request &request, int build) {
@@ -14,7 +14,7 @@
 }
 
 void StickyKeys::onRollback(int build) {
-  std::erase_if(builds_, [&](const auto &known) { return known.second >= build; });
+  std::erase_if(builds_, [&](const auto &entry) { return entry.second >= build; });
 }
 
 } // namespace myrtlehead
