--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -8,10 +8,10 @@
   endpoint.seenInListUpdate = true;
 }
 
-void EndpointSet::onListComplete(bool isComplete) {
+void EndpointSet::onUpdatesApplied(bool isFullList) {
   ready_.clear();
   for (auto &endpoint : endpoints_) {
-    if (isComplete && !endpoint.seenInListUpdate) endpoint.isReady = false;
+    if (isFullList && !endpoint.seenInListUpdate) endpoint.isReady = false;
     endpoint.seenInListUpdate = false;
     if (endpoint.isReady) ready_.push_back(&endpoint);
   }
