--- a/lab/pipelines.cpp
+++ b/lab/pipelines.cpp
@@ -124,7 +124,7 @@
       : process(sched, budget, program, {"serve", "--config", configuration}, logFile) {
     auto start = [&]() -> sched::Task<> {
       const net::Deadline until{sched.now() + 10 * kSecond, nullptr};
-      const auto line = co_await process.line("marshal serves", until);
+      const auto line = co_await process.line("instance is serving requests", until);
       const auto at = line.find(" at=");
       if (at != std::string::npos) address = net::parseAddress(line.substr(at + 4));
       sched.halt();
--- a/lab/proxy_overhead.cpp
+++ b/lab/proxy_overhead.cpp
@@ -142,7 +142,7 @@
   std::optional<net::Address> address;
   auto body = [&]() -> sched::Task<> {
     const net::Deadline deadline{sched.now() + kStartTimeout, nullptr};
-    const auto line = co_await instance.line("marshal serves", deadline);
+    const auto line = co_await instance.line("instance is serving requests", deadline);
     address = net::parseAddress(line.substr(line.find(" at=") + 4));
     sched.halt();
   };
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -93,7 +93,7 @@
   const std::vector<std::string> arguments{"serve", "--config", files.config, "--settings", files.settings};
   instance.process = std::make_unique<Process>(sched_, budget_, options_.program, arguments, files.log);
   const net::Deadline deadline{sched_.now() + kStartTimeout, nullptr};
-  const auto line = co_await instance.process->line("marshal serves", deadline);
+  const auto line = co_await instance.process->line("instance is serving requests", deadline);
   const auto at = line.find(" at=");
   const auto address = at == std::string::npos ? std::nullopt : net::parseAddress(line.substr(at + 4));
   if (!address)
--- a/src/app/bootstrap/bootstrap_config.cpp
+++ b/src/app/bootstrap/bootstrap_config.cpp
@@ -114,7 +114,7 @@
   return text.str();
 }
 
-std::string needsRestart(const BootstrapConfig &from, const BootstrapConfig &to) {
+std::string fieldsNeedingRestart(const BootstrapConfig &from, const BootstrapConfig &to) {
   std::string out;
   for (const char *name : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"}) {
     const auto *before = from.document.find(name);
--- a/src/app/bootstrap/bootstrap_config.h
+++ b/src/app/bootstrap/bootstrap_config.h
@@ -39,6 +39,6 @@
 
 // The fields, joined by ", ", that differ and that a running instance can't change; "" for none. Fields that
 // only a start reads (seed, known, news) do not count.
-std::string needsRestart(const BootstrapConfig &from, const BootstrapConfig &to);
+std::string fieldsNeedingRestart(const BootstrapConfig &from, const BootstrapConfig &to);
 
 } // namespace myrtlehead::bootstrap
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -139,9 +139,9 @@
 
 void Instance::run() {
   spawnTasks();
-  log_.info("marshal serves", {{"name", config_.name},
-                               {"routes", config_.routeNames.size()},
-                               {"at", net::text(listener_->address())}});
+  log_.info("instance is serving requests", {{"name", config_.name},
+                                             {"routes", config_.routeNames.size()},
+                                             {"at", net::text(listener_->address())}});
   sched_.run();
   if (dns_) dns_->discovery.saveAtExit();
   sched_.destroyAllTasks(); // coroutines refer to the parts, so they end first
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -37,7 +37,7 @@
   if (!read.faults.empty())
     return log.error("the new settings are not applied",
                      {{"why", settings::text(path, read.faults.front())}});
-  warnOfRestart(settings::needsRestart(parts.startedSettings, read.settings), log);
+  warnOfRestart(settings::fieldsNeedingRestart(parts.startedSettings, read.settings), log);
   if (!parts.options.logLevels) parts.logs.setLevels(read.settings.logLevels);
   if (parts.dnsDiscovery != nullptr) parts.dnsDiscovery->setServers(read.settings.dns.servers);
 }
@@ -45,7 +45,7 @@
 sched::Task<> applyReload(sched::Scheduler &sched, const ReloadableParts &parts, log::Log &log) {
   const auto config = co_await readConfigWithRetries(sched, parts.options.configPath, log);
   if (!config) co_return;
-  warnOfRestart(bootstrap::needsRestart(parts.startedWith, *config), log);
+  warnOfRestart(bootstrap::fieldsNeedingRestart(parts.startedWith, *config), log);
   parts.endpointWatch.moveTo(config->discoveryAddress);
   parts.rolloutClient.moveTo(config->platformAddress);
   try {
--- a/src/app/settings/settings.cpp
+++ b/src/app/settings/settings.cpp
@@ -165,7 +165,7 @@
   return out;
 }
 
-std::string needsRestart(const Settings &from, const Settings &to) {
+std::string fieldsNeedingRestart(const Settings &from, const Settings &to) {
   std::string out;
   const auto differs = [&](bool is, const char *key) {
     if (is) out += (out.empty() ? "" : ", ") + std::string(key);
--- a/src/app/settings/settings.h
+++ b/src/app/settings/settings.h
@@ -39,7 +39,7 @@
 SettingsResult readSettings(std::string_view text, const std::vector<std::string> &zones);
 
 // The keys, joined by ", ", that differ and that a running instance can't change; "" for none.
-std::string needsRestart(const Settings &from, const Settings &to);
+std::string fieldsNeedingRestart(const Settings &from, const Settings &to);
 
 // "250ms", "1.5s", "10m", "1h", "3d" in ns; nullopt: not a duration, or one beyond 100 years.
 std::optional<sched::Nanoseconds> parseDuration(std::string_view text);
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -30,11 +30,11 @@
     else
       break;
   }
-  log.info("asked to end: answers what it has taken");
+  log.info("shutdown requested; finishing open requests");
   // First the cluster member: attempts of its jobs may need descriptors that closing the listener takes.
   if (clusterMember != nullptr) co_await clusterMember->shutdown();
   co_await listener.shutDown();
-  log.info("ended");
+  log.info("shutdown complete");
   sched.halt();
 }
 
