--- a/src/admin/metrics_server.cpp
+++ b/src/admin/metrics_server.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr int kMaxConnections = 4;
-constexpr sched::Nanoseconds kRequestTimeout = 2'000'000'000; // with the answer
-constexpr sched::Nanoseconds kAcceptInterval =
-    2'000'000'000; // accepts again then even where nothing is readable
+constexpr sched::Nanoseconds kRequestTimeout = 2'000'000'000; // from accepting to the end of the response
+// accept() is retried after this time even if the listener was not reported as readable.
+constexpr sched::Nanoseconds kAcceptInterval = 2'000'000'000;
 
-std::string answerTo(const http::Head &request, prometheus::Registry &registry) {
+std::string responseTo(const http::Head &request, prometheus::Registry &registry) {
   const bool isKnown = request.target == "/metrics" && request.method == "GET";
   const auto body = isKnown ? prometheus::TextSerializer().Serialize(registry.Collect()) : "unknown\n";
   return std::string("HTTP/1.1 ") + (isKnown ? "200 OK" : "404 Not Found") +
@@ -39,7 +39,7 @@
   }
 }
 
-// One request, one answer; the connection closes behind it. What can't be parsed gets no answer.
+// Answers one request and closes the connection. A request that cannot be parsed gets no response.
 net::Task<> MetricsServer::serve(std::unique_ptr<net::Socket> socket) {
   struct ConnectionCount {
     int &count;
@@ -48,15 +48,15 @@
   const net::Deadline deadline{sched_.now() + kRequestTimeout, nullptr};
   net::Buffer buffer;
   http::Head head;
-  std::size_t size = 0;
+  std::size_t headSize = 0;
   auto parsed = http::Parsed::more;
-  while ((parsed = http::parseRequest(buffer.view(), head, size)) == http::Parsed::more) {
+  while ((parsed = http::parseRequest(buffer.view(), head, headSize)) == http::Parsed::more) {
     const auto error = co_await socket->read(buffer, deadline);
     if (error != net::ErrorCode::none) co_return;
   }
   if (parsed == http::Parsed::bad) co_return;
-  const auto answer = answerTo(head, registry_);
-  const auto error = co_await socket->write(answer, deadline);
+  const auto response = responseTo(head, registry_);
+  const auto error = co_await socket->write(response, deadline);
   if (error == net::ErrorCode::none) socket->shutdownWrite();
 }
 
--- a/src/admin/metrics_server.h
+++ b/src/admin/metrics_server.h
@@ -1,4 +1,4 @@
-// Serves metrics over HTTP: GET /metrics, in Prometheus' text format, version 0.0.4.
+// An HTTP server that answers GET /metrics in the Prometheus text format, version 0.0.4.
 #pragma once
 
 #include "base/net/socket.h"
@@ -13,12 +13,12 @@
 
 class MetricsServer {
 public:
-  // Listens at `address`; throws std::system_error where that can't be. All arguments must outlive the
-  // server.
+  // Listens at `address`; throws std::system_error if it cannot. The references must outlive the server.
   MetricsServer(net::Scheduler &sched, net::DescriptorBudget &budget, prometheus::Registry &registry,
                 net::Address address);
-  // Accepts connections, a few at a time, for as long as the instance lives.
+  // Accepts connections until the task is destroyed. Connections beyond a small limit are closed at once.
   net::Task<> accept();
+  // Returns the address that the server listens at, with the actual port if port 0 was given.
   net::Address address() const { return net::localAddress(*listener_); }
 
 private:
--- a/src/app/bootstrap/bootstrap_config.h
+++ b/src/app/bootstrap/bootstrap_config.h
@@ -1,5 +1,5 @@
-// One instance's bootstrap configuration, in JSON: who it is, where it listens and whom it calls. Read and
-// checked whole before anything else starts.
+// The bootstrap configuration of one instance, in JSON: its identity, the addresses that it listens at and
+// the addresses that it connects to. The whole configuration is validated before anything else starts.
 #pragma once
 
 #include "app/bootstrap/deployment_decoder.h"
@@ -12,33 +12,35 @@
   net::Address listenAddress;
   net::Address discoveryAddress;
   net::Address platformAddress;
-  net::Address peerListenAddress;          // default where the deployment has no peers
-  net::Address allPeersAddress;            // stands for all peers at once; default: none does
-  std::vector<net::Address> peerAddresses; // by the instances' indices
-  std::uint64_t seed = 0;                  // of all random draws
+  net::Address peerListenAddress;          // default-constructed if the deployment has no peers
+  net::Address allPeersAddress;            // reaches all peers at once; default-constructed if there is none
+  std::vector<net::Address> peerAddresses; // indexed by instance
+  std::uint64_t seed = 0;                  // seeds all random number generators
   int maxDescriptors = 0;
   std::size_t memoryBytes = 0;
   Deployment deployment;
-  std::vector<std::string> routeNames;      // by the routes' indices
-  std::vector<std::string> zoneNames;       // by the zones' indices
-  std::vector<std::string> loadReportNames; // by the indices of the deployment's load report fields
-  std::vector<Nanoseconds> routeTimeouts;   // by the routes' indices
-  Nanoseconds connectTimeout = 0;           // to an endpoint
-  Nanoseconds idleTimeout = 0;              // of a connection to an endpoint
-  Nanoseconds controlCallTimeout = 0;       // of a call on the platform
-  json::Value knownEndpoints;               // in discovery's form; null: none
-  json::Value rolloutState;                 // in the platform's form; null: none
-  json::Value document;                     // the whole configuration
+  std::vector<std::string> routeNames;      // indexed by route
+  std::vector<std::string> zoneNames;       // indexed by zone
+  std::vector<std::string> loadReportNames; // indexed as Deployment::loadReportFields
+  std::vector<Nanoseconds> routeTimeouts;   // indexed by route
+  Nanoseconds connectTimeout = 0;           // timeout of connecting to an endpoint
+  Nanoseconds idleTimeout = 0;              // after which an idle connection to an endpoint is closed
+  Nanoseconds controlCallTimeout = 0;       // timeout of a call to the platform
+  json::Value knownEndpoints; // initial endpoint list in discovery's format; null if none is given
+  json::Value rolloutState;   // initial rollout state in the platform's format; null if none is given
+  json::Value document;       // the whole configuration as parsed
 };
 
-// Throws ConfigError at the first field that is missing, of another type or out of range.
+// Decodes and validates a configuration. Throws ConfigError at the first field that is missing, has the wrong
+// type or is out of range.
 BootstrapConfig readBootstrapConfig(std::string_view text);
 
-// The whole file. Throws ConfigError where it can't be read or is empty.
+// Returns the content of the file. Throws ConfigError if the file cannot be read or is empty.
 std::string readFile(const std::string &path);
 
-// The fields, joined by ", ", that differ and that a running instance can't change; "" for none. Fields that
-// only a start reads (seed, known, news) do not count.
-std::string fieldsNeedingRestart(const BootstrapConfig &from, const BootstrapConfig &to);
+// Returns the names, joined by ", ", of the fields that differ and that a running instance cannot change; ""
+// if there are none. Fields that are read only at startup and never again (seed, known, news) are not
+// included.
+std::string fieldsNeedingRestart(const BootstrapConfig &started, const BootstrapConfig &reloaded);
 
 } // namespace myrtlehead::bootstrap
--- a/src/app/bootstrap/config_paths.cpp
+++ b/src/app/bootstrap/config_paths.cpp
@@ -13,7 +13,7 @@
   double value = 0;
   const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
   if (result.ec != std::errc{} || result.ptr != text.data() + text.size() || !std::isfinite(value))
-    throw ConfigError("settings: " + path + " is no number: '" + std::string(text) + "'");
+    throw ConfigError("settings: " + path + " is not a number: '" + std::string(text) + "'");
   return value;
 }
 
@@ -28,7 +28,7 @@
     if (line.empty()) continue;
     const auto equals = line.find('=');
     if (equals == std::string_view::npos || equals == 0)
-      throw ConfigError("settings line " + std::to_string(lineNumber) + ": no path=value in '" +
+      throw ConfigError("settings line " + std::to_string(lineNumber) + ": expected PATH=VALUE, found '" +
                         std::string(line) + "'");
     out.values_[std::string(line.substr(0, equals))] = line.substr(equals + 1);
   }
@@ -72,26 +72,28 @@
   values_[prefix + "count"] = std::to_string(array.items.size());
 }
 
-std::string_view ConfigPaths::text(const std::string &path, std::string_view absent) const {
+std::string_view ConfigPaths::text(const std::string &path, std::string_view fallback) const {
   const auto it = values_.find(path);
-  return it == values_.end() || it->second.empty() ? absent : it->second;
+  return it == values_.end() || it->second.empty() ? fallback : it->second;
 }
 
-double ConfigPaths::number(const std::string &path, double absent) const {
+double ConfigPaths::number(const std::string &path, double fallback) const {
   const auto value = text(path, "");
-  return value.empty() ? absent : parseNumber(path, value);
+  return value.empty() ? fallback : parseNumber(path, value);
 }
 
-long ConfigPaths::integer(const std::string &path, long absent, long least, long most) const {
-  const double value = number(path, static_cast<double>(absent));
-  if (value != std::floor(value) || value < static_cast<double>(least) || value > static_cast<double>(most))
-    throw ConfigError("settings: " + path + " is out of range");
+long ConfigPaths::integer(const std::string &path, long fallback, long min, long max) const {
+  const double value = number(path, static_cast<double>(fallback));
+  if (value != std::floor(value) || value < static_cast<double>(min) || value > static_cast<double>(max))
+    throw ConfigError("settings: " + path + " is not a whole number from " + std::to_string(min) + " to " +
+                      std::to_string(max));
   return static_cast<long>(value);
 }
 
-Nanoseconds ConfigPaths::microseconds(const std::string &path, Nanoseconds absent) const {
-  const double value = number(path, static_cast<double>(absent) / kMicrosecond);
-  if (value < 0 || value > kMaxMicroseconds) throw ConfigError("settings: " + path + " is out of range");
+Nanoseconds ConfigPaths::microseconds(const std::string &path, Nanoseconds fallback) const {
+  const double value = number(path, static_cast<double>(fallback) / kMicrosecond);
+  if (value < 0 || value > kMaxMicroseconds)
+    throw ConfigError("settings: " + path + " is not a duration from 0 to 1e15 microseconds");
   return static_cast<Nanoseconds>(value) * kMicrosecond;
 }
 
@@ -102,7 +104,7 @@
   return value == "true";
 }
 
-std::vector<std::string> ConfigPaths::texts(const std::string &path) const {
+std::vector<std::string> ConfigPaths::strings(const std::string &path) const {
   std::vector<std::string> out;
   for (auto rest = text(path, ""); !rest.empty();) {
     const auto end = std::min(rest.find(','), rest.size());
@@ -114,7 +116,7 @@
 
 std::vector<double> ConfigPaths::numbers(const std::string &path) const {
   std::vector<double> out;
-  for (const auto &item : texts(path)) out.push_back(parseNumber(path, item));
+  for (const auto &item : strings(path)) out.push_back(parseNumber(path, item));
   return out;
 }
 
--- a/src/app/bootstrap/config_paths.h
+++ b/src/app/bootstrap/config_paths.h
@@ -1,5 +1,5 @@
-// A deployment's settings as values by path, whether they come as path=value lines (the simulator's wire) or
-// as a JSON object (an instance's configuration).
+// The settings of a deployment, as values by path. They are read from path=value lines (in the simulator's
+// wire protocol) or from a JSON object (in the configuration of an instance).
 #pragma once
 
 #include "format/json/json.h"
@@ -13,25 +13,26 @@
 
 namespace myrtlehead::bootstrap {
 
-// Something in a configuration is missing or out of range; what() is a sentence that says what and where.
+// A field of a configuration is missing or invalid; what() names the field and the problem.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A list of plain values is one value joined by commas; a list has its length under PATH.count, and the
-// fields of its objects under PATH.INDEX. The getters return `absent` where the path has no value or an empty
-// one, and throw ConfigError where the value is not of the type or out of range.
+// A list of scalars is stored as one value, joined by commas. The length of each list is stored under
+// PATH.count, and the fields of the objects in a list are stored under PATH.INDEX. The getters return
+// `fallback` if the path has no value or an empty value, and throw ConfigError if the value has the wrong
+// type or is out of range.
 class ConfigPaths {
 public:
-  static ConfigPaths fromLines(std::string_view text); // throws ConfigError at a line without path=value
+  static ConfigPaths fromLines(std::string_view text); // throws ConfigError at a line that is not path=value
   static ConfigPaths fromJson(const json::Value &object);
 
-  std::string_view text(const std::string &path, std::string_view absent) const;
-  double number(const std::string &path, double absent) const; // finite
-  long integer(const std::string &path, long absent, long least, long most) const;
-  Nanoseconds microseconds(const std::string &path, Nanoseconds absent) const; // read in us, returned in ns
-  bool boolean(const std::string &path) const;                                 // absent: false
-  std::vector<std::string> texts(const std::string &path) const;               // absent: empty
+  std::string_view text(const std::string &path, std::string_view fallback) const;
+  double number(const std::string &path, double fallback) const; // always finite
+  long integer(const std::string &path, long fallback, long min, long max) const;
+  Nanoseconds microseconds(const std::string &path, Nanoseconds fallback) const; // converts to nanoseconds
+  bool boolean(const std::string &path) const;                     // false if the path has no value
+  std::vector<std::string> strings(const std::string &path) const; // empty if the path has no value
   std::vector<double> numbers(const std::string &path) const;
 
 private:
--- a/src/app/bootstrap/deployment_decoder.cpp
+++ b/src/app/bootstrap/deployment_decoder.cpp
@@ -12,28 +12,28 @@
 constexpr long kMaxTenants = 65536;
 constexpr long kMaxAttempts = 255;
 
-// A word of the operators and the code's term for it.
-template <class Term> struct Word {
-  std::string_view word;
-  Term term;
+// A keyword in the settings and the enumerator that it stands for.
+template <class Enum> struct Keyword {
+  std::string_view keyword;
+  Enum value;
 };
 
-// In each table the first word is the one for an absent value.
-constexpr Word<Idempotency> kIdempotencyWords[] = {{"single_shot", Idempotency::notIdempotent},
-                                                   {"guarded", Idempotency::idempotentWithKey},
-                                                   {"free", Idempotency::idempotent}};
-constexpr Word<IdempotencyScope> kIdempotencyScopeWords[] = {
+// The first keyword of each table is the default if the settings have no value.
+constexpr Keyword<Idempotency> kIdempotencyKeywords[] = {{"single_shot", Idempotency::notIdempotent},
+                                                         {"guarded", Idempotency::idempotentWithKey},
+                                                         {"free", Idempotency::idempotent}};
+constexpr Keyword<IdempotencyScope> kIdempotencyScopeKeywords[] = {
     {"all", IdempotencyScope::anywhere}, {"zone", IdempotencyScope::zone}, {"cell", IdempotencyScope::cell}};
-constexpr Word<RolloutControl> kRolloutControlWords[] = {{"first_voice", RolloutControl::anyVote},
-                                                         {"by_count", RolloutControl::quorum},
-                                                         {"automatic", RolloutControl::timer}};
+constexpr Keyword<RolloutControl> kRolloutControlKeywords[] = {{"first_voice", RolloutControl::anyVote},
+                                                               {"by_count", RolloutControl::quorum},
+                                                               {"automatic", RolloutControl::timer}};
 
-template <class Term, std::size_t size>
-Term readTerm(const ConfigPaths &in, const std::string &path, const Word<Term> (&words)[size]) {
-  const auto text = in.text(path, words[0].word);
-  for (const auto &entry : words)
-    if (entry.word == text) return entry.term;
-  throw ConfigError("settings: " + path + " is unknown: '" + std::string(text) + "'");
+template <class Enum, std::size_t size>
+Enum readKeyword(const ConfigPaths &in, const std::string &path, const Keyword<Enum> (&keywords)[size]) {
+  const auto text = in.text(path, keywords[0].keyword);
+  for (const auto &entry : keywords)
+    if (entry.keyword == text) return entry.value;
+  throw ConfigError("settings: " + path + " has an unknown value: '" + std::string(text) + "'");
 }
 
 Route readRoute(const ConfigPaths &in, const std::string &prefix) {
@@ -41,14 +41,14 @@
   route.latencyObjective = in.microseconds(prefix + "onTimeUs", kSecond);
   route.idempotencyWindow = in.microseconds(prefix + "repeatWindowUs", 0);
   route.priorityWeight = in.number(prefix + "worth", 1);
-  route.idempotency = readTerm(in, prefix + "effect", kIdempotencyWords);
-  route.idempotencyScope = readTerm(in, prefix + "group", kIdempotencyScopeWords);
+  route.idempotency = readKeyword(in, prefix + "effect", kIdempotencyKeywords);
+  route.idempotencyScope = readKeyword(in, prefix + "group", kIdempotencyScopeKeywords);
   return route;
 }
 
 RolloutSettings readRollout(const ConfigPaths &in) {
   RolloutSettings rollout;
-  rollout.control = readTerm(in, "familyInfo.control", kRolloutControlWords);
+  rollout.control = readKeyword(in, "familyInfo.control", kRolloutControlKeywords);
   rollout.stageCaps = in.numbers("familyInfo.caps");
   rollout.burstAttempts = in.number("familyInfo.free", 0);
   rollout.capPerRoute = in.text("familyInfo.capScope", "all") == "each_class";
@@ -64,10 +64,10 @@
   return rollout;
 }
 
-LoadReportField loadReportFieldOf(std::string_view word) {
-  if (word == "active") return LoadReportField::inFlight;
-  if (word == "waiting") return LoadReportField::queued;
-  return word == "cpu" ? LoadReportField::cpu : LoadReportField::other;
+LoadReportField loadReportFieldOf(std::string_view name) {
+  if (name == "active") return LoadReportField::inFlight;
+  if (name == "waiting") return LoadReportField::queued;
+  return name == "cpu" ? LoadReportField::cpu : LoadReportField::other;
 }
 
 void readInstanceIndex(const ConfigPaths &in, Deployment &out) {
@@ -75,8 +75,8 @@
   out.instanceCount = static_cast<int>(in.integer("peersTotal", 1, 1, kMaxInstances));
   if (out.ownIndex >= out.instanceCount)
     throw ConfigError("settings: me is " + std::to_string(out.ownIndex) +
-                      ", but peersTotal, the number of marshals, is " + std::to_string(out.instanceCount) +
-                      "; they are numbered from 0");
+                      ", but peersTotal, the number of instances, is " + std::to_string(out.instanceCount) +
+                      "; expected an index from 0 to peersTotal - 1");
 }
 
 } // namespace
@@ -88,8 +88,8 @@
   const auto routeCount = in.integer("services.count", 0, 0, kMaxRoutes);
   for (long i = 0; i < routeCount; ++i)
     out.routes.push_back(readRoute(in, "services." + std::to_string(i) + "."));
-  for (const auto &word : in.texts("telemetry.fields"))
-    out.loadReportFields.push_back(loadReportFieldOf(word));
+  for (const auto &name : in.strings("telemetry.fields"))
+    out.loadReportFields.push_back(loadReportFieldOf(name));
   const auto tenantCount = in.integer("parties.count", 0, 0, kMaxTenants);
   for (long i = 0; i < tenantCount; ++i)
     out.tenantQuotas.push_back(in.number("parties." + std::to_string(i) + ".quotaRps", 0));
--- a/src/app/bootstrap/deployment_decoder.h
+++ b/src/app/bootstrap/deployment_decoder.h
@@ -1,5 +1,5 @@
-// Decodes a deployment's settings, once at the start, into the policy's terms. The operators' paths and words
-// for them end here.
+// Decodes the settings of a deployment, once at startup, into the types of the policy. No other code uses the
+// paths and keywords of these settings.
 #pragma once
 
 #include "app/bootstrap/config_paths.h"
@@ -7,7 +7,7 @@
 
 namespace myrtlehead::bootstrap {
 
-// Throws ConfigError where a value is out of range or its word is unknown. What is absent has its default;
+// Throws ConfigError if a value is out of range or a keyword is unknown. Missing values take their defaults;
 // unknown paths are ignored.
 Deployment readDeployment(const ConfigPaths &in);
 
--- a/src/app/check.h
+++ b/src/app/check.h
@@ -1,4 +1,4 @@
-// `myrtlehead check`: whether files could be used, without serving.
+// The `check` sub-command validates configuration and settings files without serving.
 #pragma once
 
 #include <string>
@@ -8,8 +8,9 @@
 
 enum class OutputForm { text, json };
 
-// Checks each file, a configuration in JSON or settings in TOML, and writes its faults to standard output: a
-// line each, or one JSON object for all. Returns the exit code: 0 where no file has a fault, otherwise 1.
+// Checks each file, which is a configuration in JSON or settings in TOML, and writes the errors to standard
+// output: one line for each error, or one JSON object for all. Returns the exit code: 0 if no file has an
+// error, otherwise 1.
 int check(const std::vector<std::string> &files, OutputForm form);
 
 } // namespace myrtlehead::app
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -11,25 +11,26 @@
 
 namespace {
 
-// Descriptors that are not the budget's: standard streams, epoll, and what the library opens.
+// File descriptors kept out of the budget, for the standard streams, epoll and files that libraries open.
 constexpr int kReservedDescriptors = 8;
-// Each of the two budgets for large messages, upstream and downstream, is this part of the configured memory:
-// a large answer takes in all below three times its size, a large request below four times.
+// The upstream and the downstream budget for large messages are each the configured memory divided by this
+// number. In total, a large response takes less than three times its size and a large request less than four
+// times.
 constexpr std::size_t kLargeMessageMemoryDivisor = 8;
-// Offsets to the configured seed, so that the parts draw independently.
+// Offsets added to the configured seed, so that each component draws independent random numbers.
 constexpr std::uint64_t kDnsSeedOffset = 2;
 constexpr std::uint64_t kClusterSeedOffset = 5;
 
-// The Unix time, in ns, at which the instance's clock read 0. Each part reads it once, so that a step of the
-// machine's clock moves no endpoint's start.
-Nanoseconds unixTimeAtZero(Nanoseconds now) {
-  timespec t{};
-  clock_gettime(CLOCK_REALTIME, &t);
-  return t.tv_sec * kSecond + t.tv_nsec - now;
+// Returns the Unix time, in ns, at which the scheduler's clock read 0. Each component reads it once, so that
+// a step of the system clock does not change the start time of an endpoint.
+Nanoseconds unixTimeAtClockZero(Nanoseconds now) {
+  timespec unixTime{};
+  clock_gettime(CLOCK_REALTIME, &unixTime);
+  return unixTime.tv_sec * kSecond + unixTime.tv_nsec - now;
 }
 
-// The configured number of descriptors, or the process's limit if that is lower.
-int allowedDescriptors(int configured) {
+// Returns the configured number of file descriptors, or the process's limit if the limit is lower.
+int descriptorLimit(int configured) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return configured;
   return static_cast<int>(std::min<rlim_t>(limit.rlim_cur, static_cast<rlim_t>(configured)));
@@ -51,23 +52,23 @@
   discovery.onChange = [&router] { router.onEndpointMergeChanged(); };
   if (!settings.stateFolder.empty())
     discovery.openStateFile(settings.stateFolder + "/names", {"names", config.name},
-                            unixTimeAtZero(sched.now()));
+                            unixTimeAtClockZero(sched.now()));
 }
 
 Instance::Instance(const ServeOptions &options, const bootstrap::BootstrapConfig &config,
                    const settings::Settings &settings, int signalDescriptor)
     : options_(options), config_(config), settings_(settings),
       logs_(STDERR_FILENO, settings.logForm, settings.logLevels), log_(logs_.forPackage("program")),
-      guardLog_(logs_.forPackage("guard")), catalogLog_(logs_.forPackage("catalog")),
-      platformLog_(logs_.forPackage("platform")), nodesLog_(logs_.forPackage("nodes")),
-      clientsLog_(logs_.forPackage("clients")),
-      budget_(allowedDescriptors(config.maxDescriptors) - kReservedDescriptors),
-      router_(sched_, config.deployment, config.seed, guardLog_),
-      endpointWatch_(sched_, budget_, router_, catalogLog_, config.discoveryAddress, config.zoneNames,
-                     unixTimeAtZero(sched_.now())),
-      rolloutClient_(sched_, budget_, router_, platformLog_, config.platformAddress, config.routeNames,
+      routerLog_(logs_.forPackage("guard")), discoveryLog_(logs_.forPackage("catalog")),
+      rolloutLog_(logs_.forPackage("platform")), upstreamLog_(logs_.forPackage("nodes")),
+      downstreamLog_(logs_.forPackage("clients")),
+      budget_(descriptorLimit(config.maxDescriptors) - kReservedDescriptors),
+      router_(sched_, config.deployment, config.seed, routerLog_),
+      endpointWatch_(sched_, budget_, router_, discoveryLog_, config.discoveryAddress, config.zoneNames,
+                     unixTimeAtClockZero(sched_.now())),
+      rolloutClient_(sched_, budget_, router_, rolloutLog_, config.platformAddress, config.routeNames,
                      config.controlCallTimeout),
-      connectionPool_(sched_, budget_, nodesLog_, config.connectTimeout, config.idleTimeout,
+      connectionPool_(sched_, budget_, upstreamLog_, config.connectTimeout, config.idleTimeout,
                       config.loadReportNames, config.memoryBytes / kLargeMessageMemoryDivisor),
       dns_(settings.dns.srvNames.empty() ? nullptr
                                          : std::make_unique<DnsParts>(sched_, budget_, router_, config,
@@ -82,24 +83,24 @@
                                                        sched_, budget_, router_, config.peerListenAddress,
                                                        config.peerAddresses, config.allPeersAddress)) {
   sched_.onUncaughtException = [this](const char *what) {
-    log_.error("a coroutine ended early", {{"what", what}});
+    log_.error("a task ended with an exception", {{"what", what}});
   };
-  applyKnownState();
+  applyInitialState();
   clusterMember_ = makeClusterMember();
-  listener_.emplace(sched_, budget_, router_, connectionPool_, clientsLog_, config.listenAddress,
+  listener_.emplace(sched_, budget_, router_, connectionPool_, downstreamLog_, config.listenAddress,
                     config.routeNames, config.routeTimeouts, config.memoryBytes / kLargeMessageMemoryDivisor);
   reloadableParts_.emplace(ReloadableParts{options_, config_, settings_, endpointWatch_, rolloutClient_,
                                            dns_ ? &dns_->discovery : nullptr, logs_});
 }
 
-// The endpoint list and the rollout's state that the configuration brings along.
-void Instance::applyKnownState() {
+// Applies the endpoint list and the rollout state that the configuration contains.
+void Instance::applyInitialState() {
   if (hasKnownEndpoints(config_) && !endpointWatch_.applyInitialList(config_.knownEndpoints))
-    throw bootstrap::ConfigError("the configuration's 'known' is no list of nodes");
-  if (const auto state = rollout::readRolloutState(config_.rolloutState))
-    router_.onRolloutState(*state);
+    throw bootstrap::ConfigError("the configuration's 'known' is not a valid endpoint list");
+  if (const auto rolloutState = rollout::readRolloutState(config_.rolloutState))
+    router_.onRolloutState(*rolloutState);
   else if (config_.rolloutState.kind != json::Value::null)
-    throw bootstrap::ConfigError("the configuration's 'platform.news' can't be read");
+    throw bootstrap::ConfigError("the configuration's 'platform.news' is not a valid rollout state");
 }
 
 std::unique_ptr<cluster::ClusterMember> Instance::makeClusterMember() {
@@ -108,10 +109,10 @@
   for (const auto &route : config_.deployment.routes) routes.idempotency.push_back(route.idempotency);
   return std::make_unique<cluster::ClusterMember>(
       sched_, budget_, router_, connectionPool_, *settings_.cluster, std::move(routes), config_.routeTimeouts,
-      unixTimeAtZero(sched_.now()), config_.seed + kClusterSeedOffset, logs_.forPackage("fleet"));
+      unixTimeAtClockZero(sched_.now()), config_.seed + kClusterSeedOffset, logs_.forPackage("fleet"));
 }
 
-// The order matters: the scheduler starts the tasks in it.
+// The order matters: the scheduler starts the tasks in the order in which they are spawned.
 void Instance::spawnTasks() {
   sched_.spawn(router_.run());
   sched_.spawn(endpointWatch_.run());
@@ -144,7 +145,7 @@
                                              {"at", net::text(listener_->address())}});
   sched_.run();
   if (dns_) dns_->discovery.saveAtExit();
-  sched_.destroyAllTasks(); // coroutines refer to the parts, so they end first
+  sched_.destroyAllTasks(); // tasks refer to the components, so they are destroyed first
 }
 
 } // namespace myrtlehead::app
--- a/src/app/instance.h
+++ b/src/app/instance.h
@@ -1,4 +1,4 @@
-// One running instance of the gateway: owns all its parts and the tasks that drive them.
+// One running instance of the gateway. It owns all components and the tasks that run them.
 #pragma once
 
 #include "admin/metrics_server.h"
@@ -19,7 +19,7 @@
 
 namespace myrtlehead::app {
 
-// DNS discovery and what it needs; made only where the settings name any set.
+// DNS discovery and the objects that it uses. They exist only if the settings list SRV names.
 struct DnsParts {
   DnsParts(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
            const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log);
@@ -31,16 +31,17 @@
 
 class Instance {
 public:
-  // Binds every socket and restores every state; serves nothing yet. The arguments must outlive the instance;
-  // it takes over `signalDescriptor`. Throws ConfigError or std::system_error where a part can't be made.
+  // Binds all sockets and restores stored state, but does not serve yet. The references must outlive the
+  // instance, which takes ownership of `signalDescriptor`. Throws ConfigError or std::system_error if a
+  // component cannot be created.
   Instance(const ServeOptions &options, const bootstrap::BootstrapConfig &config,
            const settings::Settings &settings, int signalDescriptor);
 
-  // Serves until SIGTERM or SIGINT and a graceful shutdown after it.
+  // Serves until SIGTERM or SIGINT, then shuts down gracefully and returns.
   void run();
 
 private:
-  void applyKnownState();
+  void applyInitialState();
   std::unique_ptr<cluster::ClusterMember> makeClusterMember();
   void spawnTasks();
 
@@ -48,27 +49,27 @@
   const bootstrap::BootstrapConfig &config_;
   const settings::Settings &settings_;
 
-  // In the order of construction: each part refers only to those above it.
+  // The order of construction: each component refers only to components above it.
   log::Logs logs_;
   log::Log log_;
-  log::Log guardLog_;
-  log::Log catalogLog_;
-  log::Log platformLog_;
-  log::Log nodesLog_;
-  log::Log clientsLog_;
+  log::Log routerLog_;
+  log::Log discoveryLog_;
+  log::Log rolloutLog_;
+  log::Log upstreamLog_;
+  log::Log downstreamLog_;
   sched::Scheduler sched_;
   net::DescriptorBudget budget_;
   Router router_;
   discovery::EndpointWatch endpointWatch_;
   rollout::RolloutClient rolloutClient_;
   upstream::ConnectionPool connectionPool_;
-  std::unique_ptr<DnsParts> dns_;                       // none: the settings name no set
-  prometheus::Registry emptyRegistry_;                  // served where there is no DNS discovery
-  std::unique_ptr<admin::MetricsServer> metricsServer_; // none: the settings name no address
+  std::unique_ptr<DnsParts> dns_;                       // null if the settings list no SRV names
+  prometheus::Registry emptyRegistry_;                  // served as the metrics if there is no DNS discovery
+  std::unique_ptr<admin::MetricsServer> metricsServer_; // null if the settings have no metrics address
   net::Socket signals_;
-  std::unique_ptr<peers::PeerTransport> peerTransport_;   // none: the deployment has no peers
-  std::unique_ptr<cluster::ClusterMember> clusterMember_; // none: the settings name no cluster
-  std::optional<downstream::Listener> listener_;          // made last, in the constructor's body
+  std::unique_ptr<peers::PeerTransport> peerTransport_;   // null if the deployment has no peers
+  std::unique_ptr<cluster::ClusterMember> clusterMember_; // null if the settings have no [fleet] table
+  std::optional<downstream::Listener> listener_;          // created last, in the constructor's body
   ReloadRequest reloadRequest_;
   std::optional<ReloadableParts> reloadableParts_;
 };
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,5 @@
-// The command line: sub-commands, their options, and the exit code: 0, 1 (failed) or 2 (wrong usage).
+// Parses the command line and runs a sub-command. The exit code is 0 for success, 1 for failure and 2 for
+// invalid usage.
 #include "app/check.h"
 #include "app/resolve.h"
 #include "app/serve.h"
@@ -15,35 +16,40 @@
 
 constexpr const char *kVersion = MYRTLEHEAD_VERSION;
 constexpr int kFailed = 1;
-constexpr int kWrongUsage = 2;
+constexpr int kInvalidUsage = 2;
 
-// The options as they stand on the command line, of all sub-commands.
+// The unparsed option values of all sub-commands.
 struct CommandLine {
   app::ServeOptions serve;
   std::string logLevels;
   std::string logForm;
   std::string outputForm = "text";
-  std::vector<std::string> files; // check
-  std::vector<std::string> names; // resolve
-  std::string servers;            // resolve
-  std::string within = "5s";      // resolve
+  std::vector<std::string> files; // of `check`
+  std::vector<std::string> names; // of `resolve`
+  std::string servers;            // of `resolve`
+  std::string within = "5s";      // of `resolve`
 };
 
 log::Levels parseLevels(const std::string &text) {
   const auto levels = log::parseLevels(text);
-  if (!levels) throw CLI::ValidationError("--log", "'" + text + "' is no level, nor levels by package");
+  if (!levels)
+    throw CLI::ValidationError(
+        "--log",
+        "'" + text + "' is not a log level, nor a list of levels by package such as info,nodes=debug");
   return *levels;
 }
 
 CLI::App *addServe(CLI::App &app, CommandLine &line) {
-  auto *serve = app.add_subcommand("serve", "Serve as one marshal until SIGTERM");
+  auto *serve = app.add_subcommand("serve", "Run one instance of the gateway until SIGTERM or SIGINT");
   for (auto *command : {&app, serve}) {
-    command->add_option("--log", line.logLevels,
-                        "Least level: debug, info, warning, error; by package: info,nodes=debug");
-    command->add_option("--log-form", line.logForm, "Form of log lines")
+    command->add_option(
+        "--log", line.logLevels,
+        "Minimum log level: debug, info, warning or error; by package, for example: info,nodes=debug");
+    command->add_option("--log-form", line.logForm, "Format of log lines")
         ->check(CLI::IsMember({"text", "json"}));
-    command->add_option("--settings", line.serve.settingsPath, "The installation's settings, in TOML");
-    command->add_option("--config", line.serve.configPath, "The platform's configuration, in JSON")
+    command->add_option("--settings", line.serve.settingsPath,
+                        "Path of the installation's settings file (TOML)");
+    command->add_option("--config", line.serve.configPath, "Path of the platform's configuration file (JSON)")
         ->envname("PROXY_CONFIG");
   }
   return serve;
@@ -51,21 +57,21 @@
 
 CLI::App *addCheck(CLI::App &app, CommandLine &line) {
   auto *check = app.add_subcommand("check",
-                                   "Decode configurations and settings, and say what is wrong with them");
-  check->add_option("FILE", line.files, "A configuration in JSON or settings in TOML")->required();
-  check->add_option("--output", line.outputForm, "Form of the answer")
-      ->check(CLI::IsMember({"text", "json"}));
+                                   "Validate configuration and settings files and print their errors");
+  check->add_option("FILE", line.files, "A configuration file (JSON) or a settings file (TOML)")->required();
+  check->add_option("--output", line.outputForm, "Output format")->check(CLI::IsMember({"text", "json"}));
   return check;
 }
 
 CLI::App *addResolve(CLI::App &app, CommandLine &line) {
-  auto *resolve = app.add_subcommand("resolve", "Show the servers that SRV records name");
-  resolve->add_option("NAME", line.names, "SRV names such as _pg._tcp.maps.example")->required();
-  resolve->add_option("--server", line.servers, "Servers of names: ADDRESS:PORT[,...]")->required();
-  resolve->add_option("--within", line.within, "How long to wait for answers")->capture_default_str();
-  resolve->add_option("--output", line.outputForm, "Form of the answer")
-      ->check(CLI::IsMember({"text", "json"}));
-  resolve->add_option("--log", line.logLevels, "Least level of log lines");
+  auto *resolve = app.add_subcommand("resolve", "Look up SRV names and print the endpoints in their records");
+  resolve->add_option("NAME", line.names, "SRV names, for example _pg._tcp.maps.example")->required();
+  resolve->add_option("--server", line.servers, "DNS servers: ADDRESS[:PORT][,...]; the default port is 53")
+      ->required();
+  resolve->add_option("--within", line.within, "Time limit for all look-ups, for example 5s")
+      ->capture_default_str();
+  resolve->add_option("--output", line.outputForm, "Output format")->check(CLI::IsMember({"text", "json"}));
+  resolve->add_option("--log", line.logLevels, "Minimum log level");
   return resolve;
 }
 
@@ -79,12 +85,14 @@
   return 0;
 }
 
-// "ADDRESS[:PORT],..."; port 53 where none is given.
+// Parses "ADDRESS[:PORT],..."; the default port is 53.
 std::vector<net::Address> parseServers(const std::string &text) {
   std::vector<net::Address> out;
   for (const auto &item : CLI::detail::split(text, ',')) {
     const auto address = net::parseAddress(item.find(':') == std::string::npos ? item + ":53" : item);
-    if (!address) throw CLI::ValidationError("--server", "'" + item + "' is no address such as 127.0.0.1:53");
+    if (!address)
+      throw CLI::ValidationError("--server",
+                                 "'" + item + "' is not an IP address and port such as 127.0.0.1:53");
     out.push_back(*address);
   }
   return out;
@@ -93,10 +101,11 @@
 int resolve(const CommandLine &line) {
   const auto servers = parseServers(line.servers);
   for (const auto &name : line.names)
-    if (!dns::canonical(name)) throw CLI::ValidationError("NAME", "'" + name + "' is no domain name");
-  const auto within = settings::parseDuration(line.within);
-  if (!within) throw CLI::ValidationError("--within", "'" + line.within + "' is no duration such as 5s");
-  return app::resolve(line.names, servers, *within, line.outputForm == "json",
+    if (!dns::canonical(name)) throw CLI::ValidationError("NAME", "'" + name + "' is not a domain name");
+  const auto timeout = settings::parseDuration(line.within);
+  if (!timeout)
+    throw CLI::ValidationError("--within", "'" + line.within + "' is not a duration such as 5s or 250ms");
+  return app::resolve(line.names, servers, *timeout, line.outputForm == "json",
                       parseLevels(line.logLevels.empty() ? "error" : line.logLevels));
 }
 
@@ -113,14 +122,14 @@
 
 int main(int argc, char **argv) {
   CommandLine line;
-  CLI::App app("A gateway with a release guard.", "myrtlehead");
+  CLI::App app("A gateway that routes requests during staged rollouts and votes on builds.", "myrtlehead");
   app.require_subcommand(0, 1);
-  app.footer("Without a sub-command, and with PROXY_CONFIG set or --config given, it serves.\n"
-             "Exit codes: 0 fine, 1 failed, 2 wrong usage.");
+  app.footer("Without a sub-command, myrtlehead runs 'serve'; set PROXY_CONFIG or give --config.\n"
+             "Exit codes: 0 success, 1 failure, 2 invalid usage.");
   addServe(app, line);
   const auto *checkCommand = addCheck(app, line);
   const auto *resolveCommand = addResolve(app, line);
-  const auto *versionCommand = app.add_subcommand("version", "Show the version");
+  const auto *versionCommand = app.add_subcommand("version", "Print the version");
   try {
     app.parse(argc, argv);
     if (versionCommand->parsed()) return printVersion();
@@ -132,8 +141,8 @@
   } catch (const CLI::CallForAllHelp &e) {
     return app.exit(e);
   } catch (const CLI::ParseError &e) {
-    std::cerr << "usage: " << e.what() << "\nRun myrtlehead --help for more.\n";
-    return kWrongUsage;
+    std::cerr << "usage: " << e.what() << "\nRun myrtlehead --help for more information.\n";
+    return kInvalidUsage;
   } catch (const std::exception &e) {
     std::cerr << "myrtlehead: " << e.what() << '\n';
     return kFailed;
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -9,35 +9,36 @@
 constexpr int kReadAttempts = 10;
 constexpr Nanoseconds kReadRetryInterval = kSecond / 10;
 
-// Guards against a file that is read while it is replaced: what can't be decoded is read again for a second.
+// Reads the configuration file. If decoding fails, it retries for about a second, because the file may be
+// read while it is being replaced. Returns nullopt, and logs the last error, if every attempt fails.
 sched::Task<std::optional<bootstrap::BootstrapConfig>>
 readConfigWithRetries(sched::Scheduler &sched, const std::string &path, log::Log &log) {
-  std::string why;
+  std::string lastError;
   for (int attempt = 0; attempt < kReadAttempts; ++attempt) {
     if (attempt > 0) co_await sched.sleep(kReadRetryInterval);
     try {
       co_return bootstrap::readBootstrapConfig(bootstrap::readFile(path));
     } catch (const std::exception &e) {
-      why = e.what();
+      lastError = e.what();
     }
   }
-  log.error("the new configuration is not applied", {{"why", why}});
+  log.error("the new configuration is not applied", {{"why", lastError}});
   co_return std::nullopt;
 }
 
-void warnOfRestart(const std::string &fields, log::Log &log) {
-  if (!fields.empty()) log.warning("needs a restart to apply", {{"fields", fields}});
+void warnIfRestartNeeded(const std::string &fields, log::Log &log) {
+  if (!fields.empty()) log.warning("some changed fields need a restart to take effect", {{"fields", fields}});
 }
 
-// Applies the settings file only if it has no fault. Throws where it can't be read.
+// Applies the settings file only if it has no errors. Throws ConfigError if the file cannot be read.
 void applySettings(const ReloadableParts &parts, const bootstrap::BootstrapConfig &config, log::Log &log) {
   const auto &path = parts.options.settingsPath;
   if (path.empty()) return;
   const auto read = settings::readSettings(bootstrap::readFile(path), config.zoneNames);
-  if (!read.faults.empty())
+  if (!read.errors.empty())
     return log.error("the new settings are not applied",
-                     {{"why", settings::text(path, read.faults.front())}});
-  warnOfRestart(settings::fieldsNeedingRestart(parts.startedSettings, read.settings), log);
+                     {{"why", settings::formatError(path, read.errors.front())}});
+  warnIfRestartNeeded(settings::fieldsNeedingRestart(parts.startedSettings, read.settings), log);
   if (!parts.options.logLevels) parts.logs.setLevels(read.settings.logLevels);
   if (parts.dnsDiscovery != nullptr) parts.dnsDiscovery->setServers(read.settings.dns.servers);
 }
@@ -45,7 +46,7 @@
 sched::Task<> applyReload(sched::Scheduler &sched, const ReloadableParts &parts, log::Log &log) {
   const auto config = co_await readConfigWithRetries(sched, parts.options.configPath, log);
   if (!config) co_return;
-  warnOfRestart(bootstrap::fieldsNeedingRestart(parts.startedWith, *config), log);
+  warnIfRestartNeeded(bootstrap::fieldsNeedingRestart(parts.startedConfig, *config), log);
   parts.endpointWatch.moveTo(config->discoveryAddress);
   parts.rolloutClient.moveTo(config->platformAddress);
   try {
--- a/src/app/reload.h
+++ b/src/app/reload.h
@@ -1,5 +1,5 @@
-// Reloads a running instance's configuration and settings: applies what can change without a restart and logs
-// what can't.
+// Reloads the configuration and settings of a running instance. Fields that can change without a restart are
+// applied; changes of other fields are logged.
 #pragma once
 
 #include "app/bootstrap/bootstrap_config.h"
@@ -11,7 +11,7 @@
 
 namespace myrtlehead::app {
 
-// A pending request to reload. One that comes while an earlier one is applied is kept, not lost.
+// Whether a reload is requested. A request made while an earlier one is being applied is kept.
 struct ReloadRequest {
   bool isPending = false;
   sched::Event requested;
@@ -22,20 +22,20 @@
   }
 };
 
-// What a reload reads and changes: the addresses of discovery, the platform and the DNS servers, and the log
-// levels. All of it must outlive the reloads.
+// The objects that a reload reads and changes. It changes the addresses of discovery, the platform and the
+// DNS servers, and the log levels. All objects must outlive the task of applyReloads().
 struct ReloadableParts {
   const ServeOptions &options;
-  const bootstrap::BootstrapConfig &startedWith;
+  const bootstrap::BootstrapConfig &startedConfig;
   const settings::Settings &startedSettings;
   discovery::EndpointWatch &endpointWatch;
   rollout::RolloutClient &rolloutClient;
-  dns_discovery::DnsDiscovery *dnsDiscovery; // nullptr: no names are followed
+  dns_discovery::DnsDiscovery *dnsDiscovery; // nullptr if there is no DNS discovery
   log::Logs &logs;
 };
 
-// Applies each request for a reload, for as long as the instance lives. A file that can't be decoded changes
-// nothing and is logged.
+// Applies reload requests until the task is destroyed. A configuration that cannot be decoded changes
+// nothing; settings that have errors change no setting. The error is logged.
 sched::Task<> applyReloads(sched::Scheduler &sched, const ReloadableParts &parts, ReloadRequest &request,
                            log::Log &log);
 
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -16,16 +16,16 @@
 constexpr int kMaxDescriptors = 512;
 constexpr sched::Nanoseconds kPollInterval = 5 * kMillisecond;
 
-// Ends the scheduler's run when every look-up has finished, or at `deadline`.
-sched::Task<> haltWhenSettled(sched::Scheduler &sched, const dns_discovery::DnsDiscovery &discovery,
-                              sched::Nanoseconds deadline) {
+// Stops the scheduler when all look-ups have finished, or at `deadline`.
+sched::Task<> haltAfterLookups(sched::Scheduler &sched, const dns_discovery::DnsDiscovery &discovery,
+                               sched::Nanoseconds deadline) {
   do co_await sched.sleep(kPollInterval);
   while (!discovery.hasCompletedFirstLookups() && sched.now() < deadline);
   sched.halt();
 }
 
-nlohmann::json describeSet(const dns_discovery::DnsDiscovery &discovery, const std::string &name,
-                           std::size_t index, sched::Nanoseconds now) {
+nlohmann::json describeSrvName(const dns_discovery::DnsDiscovery &discovery, const std::string &name,
+                               std::size_t index, sched::Nanoseconds now) {
   const dns::Question question{*dns::canonical(name), dns::Type::srv};
   constexpr const char *kStates[] = {"never", "fresh", "stale", "expired"};
   const auto &schedule = discovery.schedule();
@@ -39,15 +39,15 @@
   return out;
 }
 
-// Each address of each target, as DNS records give it.
+// Describes each address of each target in the DNS records.
 nlohmann::json describeEndpoints(const dns_discovery::DnsDiscovery &discovery,
                                  const endpoint_merge::EndpointMerge &merge, sched::Nanoseconds now) {
   nlohmann::json out = nlohmann::json::array();
   const auto snapshot = merge.snapshot();
   const auto &schedule = discovery.schedule();
   for (const auto &set : snapshot.sets)
-    for (const auto &saved : set.targets) {
-      const auto &target = saved.target;
+    for (const auto &savedTarget : set.targets) {
+      const auto &target = savedTarget.target;
       const auto host = std::find_if(snapshot.hosts.begin(), snapshot.hosts.end(),
                                      [&](const auto &known) { return known.name == target.host; });
       if (host == snapshot.hosts.end()) continue;
@@ -77,11 +77,11 @@
   if (out["servers"].empty()) return;
   fmt::print("{:<36} {:<26} {:>8} {:>6} {:>8} {:>8} {:>6}\n", "SERVER", "ADDRESS", "PRIORITY", "WEIGHT",
              "BUILD", "LEFT S", "AGE S");
-  for (const auto &s : out["servers"])
-    fmt::print("{:<36} {:<26} {:>8} {:>6} {:>8} {:>8.1f} {:>6.1f}\n", s["name"].get<std::string>(),
-               s["address"].get<std::string>(), s["priority"].get<int>(), s["weight"].get<int>(),
-               s["build"].get<std::string>(), s["lifetime_left_ms"].get<double>() / 1000,
-               s["age_ms"].get<double>() / 1000);
+  for (const auto &server : out["servers"])
+    fmt::print("{:<36} {:<26} {:>8} {:>6} {:>8} {:>8.1f} {:>6.1f}\n", server["name"].get<std::string>(),
+               server["address"].get<std::string>(), server["priority"].get<int>(),
+               server["weight"].get<int>(), server["build"].get<std::string>(),
+               server["lifetime_left_ms"].get<double>() / 1000, server["age_ms"].get<double>() / 1000);
 }
 
 } // namespace
@@ -104,20 +104,20 @@
                                         metrics);
   discovery.onChange = [&] { merge.mergedEndpoints(sched.now()); };
   sched.spawn(discovery.run(dns_discovery::FirstLookups::immediate));
-  sched.spawn(haltWhenSettled(sched, discovery, sched.now() + timeout));
+  sched.spawn(haltAfterLookups(sched, discovery, sched.now() + timeout));
   sched.run();
   const auto now = sched.now();
   nlohmann::json out{{"sets", nlohmann::json::array()}, {"servers", nlohmann::json::array()}};
   for (std::size_t i = 0; i < names.size(); ++i)
-    out["sets"].push_back(describeSet(discovery, names[i], i, now));
+    out["sets"].push_back(describeSrvName(discovery, names[i], i, now));
   out["servers"] = describeEndpoints(discovery, merge, now);
-  const bool anyKnown = !out["servers"].empty();
+  const bool hasEndpoints = !out["servers"].empty();
   if (json)
     fmt::print("{}\n", out.dump(2));
   else
     print(out);
   sched.destroyAllTasks();
-  return anyKnown ? 0 : 1;
+  return hasEndpoints ? 0 : 1;
 }
 
 } // namespace myrtlehead::app
--- a/src/app/resolve.h
+++ b/src/app/resolve.h
@@ -1,4 +1,4 @@
-// `myrtlehead resolve`: looks SRV names up once and prints what an instance would make of their records.
+// The `resolve` sub-command looks up SRV names once and prints the endpoints that an instance would use.
 #pragma once
 
 #include "base/log/log.h"
@@ -9,8 +9,9 @@
 
 namespace myrtlehead::app {
 
-// Prints the endpoints with their TTLs and sources, as a table or as JSON. `timeout`: for all look-ups, in
-// nanoseconds. Returns the exit code: 0: there are endpoints; 1: there are none, and the causes are printed.
+// Prints the endpoints with their remaining TTLs and sources, as a table or as JSON. `timeout`, in
+// nanoseconds, limits all look-ups together. Returns the exit code: 0 if there are endpoints, otherwise 1,
+// and the causes of failed look-ups are printed.
 int resolve(const std::vector<std::string> &names, const std::vector<net::Address> &servers,
             sched::Nanoseconds timeout, bool json, log::Levels levels);
 
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-// The settings with the command line's overrides; the defaults where no file is named. Throws ConfigError.
+// Returns the settings with the overrides from the command line, or the default settings if no file is given.
+// Throws ConfigError if the file has errors.
 settings::Settings readSettings(const ServeOptions &options, const bootstrap::BootstrapConfig &config) {
   settings::Settings out;
   if (!options.settingsPath.empty()) {
     auto read = settings::readSettings(bootstrap::readFile(options.settingsPath), config.zoneNames);
-    if (!read.faults.empty())
-      throw bootstrap::ConfigError(settings::text(options.settingsPath, read.faults.front()));
+    if (!read.errors.empty())
+      throw bootstrap::ConfigError(settings::formatError(options.settingsPath, read.errors.front()));
     out = std::move(read.settings);
   }
   if (options.logLevels) out.logLevels = *options.logLevels;
@@ -26,7 +27,8 @@
 } // namespace
 
 void serve(const ServeOptions &options) {
-  // Before the configuration is read, and before any thread starts.
+  // Signals are blocked before the configuration is read, so that a signal sent in the meantime is handled
+  // later, and before any thread starts, because threads inherit the signal mask.
   const int signalDescriptor = openSignalDescriptor();
   const auto config = bootstrap::readBootstrapConfig(bootstrap::readFile(options.configPath));
   const auto settings = readSettings(options, config);
--- a/src/app/serve.h
+++ b/src/app/serve.h
@@ -1,4 +1,4 @@
-// `myrtlehead serve`: reads the files, starts one instance and serves until SIGTERM or SIGINT.
+// The `serve` sub-command reads the configuration and settings and runs one instance until SIGTERM or SIGINT.
 #pragma once
 
 #include "base/log/log.h"
@@ -8,16 +8,16 @@
 
 namespace myrtlehead::app {
 
-// What the command line asks for.
+// The options of the `serve` sub-command.
 struct ServeOptions {
   std::string configPath;               // the platform's configuration, in JSON
-  std::string settingsPath;             // the installation's settings, in TOML; "": none
-  std::optional<log::Levels> logLevels; // override those of the settings
-  std::optional<log::Format> logForm;   // overrides that of the settings
+  std::string settingsPath;             // the installation's settings, in TOML; empty if there are none
+  std::optional<log::Levels> logLevels; // override the levels in the settings
+  std::optional<log::Format> logForm;   // overrides the format in the settings
 };
 
-// Returns after a graceful shutdown. Throws what keeps it from serving (ConfigError, std::system_error), with
-// a sentence for whoever started it.
+// Returns after a graceful shutdown. Throws ConfigError or std::system_error, with a message for the
+// operator, if the instance cannot start.
 void serve(const ServeOptions &options);
 
 } // namespace myrtlehead::app
--- a/src/app/settings/cluster_settings.cpp
+++ b/src/app/settings/cluster_settings.cpp
@@ -1,4 +1,4 @@
-// Reads the [fleet] table: the members of the cluster, and the limits of its jobs.
+// Reads the [fleet] table, which lists the members of the cluster and the limits of its jobs.
 #include "app/settings/table_reader.h"
 
 namespace myrtlehead::settings {
@@ -15,10 +15,10 @@
   });
 }
 
-// The line at which the table begins.
+// Returns the line at which the table begins.
 int lineOf(const toml::table &table) { return static_cast<int>(table.source().begin.line); }
 
-// Reads the key's address into `out`; false: it is missing or is none.
+// Reads the address of `key` into `out`. Returns false if the key is missing or its value is not an address.
 bool readAddress(TableReader &reader, const char *key, net::Address &out) {
   bool isRead = false;
   reader.string(key, kExpectedAddress, [&](const std::string &text) {
@@ -29,13 +29,13 @@
   return isRead;
 }
 
-// One [[fleet.member]]; its name and address must be no other member's.
+// Reads one [[fleet.member]] table. No two members may have the same name or address.
 void readMember(const toml::table &in, const std::string &path, cluster::Membership &out,
-                std::vector<SettingsFault> &faults) {
+                std::vector<SettingsError> &errors) {
   cluster::Member member;
   bool hasAddress = false;
   {
-    TableReader reader(in, path, faults);
+    TableReader reader(in, path, errors);
     reader.string("name", "1 to 64 letters, digits or any of -_.", [&](const std::string &text) {
       member.name = text;
       return isMemberName(text);
@@ -43,27 +43,27 @@
     hasAddress = readAddress(reader, "address", member.address);
   }
   const int line = lineOf(in);
-  if (member.name.empty()) faults.push_back({line, path + "name", "expected, but missing"});
+  if (member.name.empty()) errors.push_back({line, path + "name", "required, but missing"});
   if (!hasAddress && !in.contains("address"))
-    faults.push_back({line, path + "address", "expected, but missing"});
+    errors.push_back({line, path + "address", "required, but missing"});
   for (const auto &other : out.members)
     if (other.name == member.name || (hasAddress && other.address == member.address))
-      faults.push_back({line, path + "name", "another member has this name or address: " + other.name});
+      errors.push_back({line, path + "name", "member '" + other.name + "' already has this name or address"});
   out.members.push_back(std::move(member));
 }
 
-void readMembers(TableReader &reader, cluster::Membership &out, std::vector<SettingsFault> &faults) {
+void readMembers(TableReader &reader, cluster::Membership &out, std::vector<SettingsError> &errors) {
   const auto *node = reader.find("member");
   if (node == nullptr) return;
   const auto *list = node->as_array();
   const bool isValid = list != nullptr && !list->empty() && list->size() <= kMaxMembers &&
                        list->is_homogeneous<toml::table>();
   if (!isValid) {
-    reader.addFault(*node, "member", "1 to 1000 tables [[fleet.member]]");
+    reader.addError(*node, "member", "1 to 1000 tables [[fleet.member]]");
     return;
   }
   for (std::size_t i = 0; i < list->size(); ++i)
-    readMember(*list->get_as<toml::table>(i), "fleet.member[" + std::to_string(i) + "].", out, faults);
+    readMember(*list->get_as<toml::table>(i), "fleet.member[" + std::to_string(i) + "].", out, errors);
 }
 
 void readLimits(TableReader &reader, cluster::Membership &out) {
@@ -79,44 +79,45 @@
   reader.integer("slots", 0, 1000, out.maxRunningJobs);
 }
 
-// What must be there, and what must hold between keys.
+// Checks that required keys are present, and the constraints between keys.
 void checkMembership(const toml::table &in, const cluster::Membership &membership, bool hasListenAddress,
-                     std::vector<SettingsFault> &faults) {
+                     std::vector<SettingsError> &errors) {
   const int line = lineOf(in);
   if (!hasListenAddress && !in.contains("listen"))
-    faults.push_back({line, "fleet.listen", "expected, but missing"});
+    errors.push_back({line, "fleet.listen", "required, but missing"});
   if (membership.storeFolder.empty() && !in.contains("folder"))
-    faults.push_back({line, "fleet.folder", "expected, but missing"});
+    errors.push_back({line, "fleet.folder", "required, but missing"});
   if (membership.members.empty() && !in.contains("member"))
-    faults.push_back({line, "fleet.member", "expected [[fleet.member]] tables, one for each member"});
+    errors.push_back({line, "fleet.member", "expected one [[fleet.member]] table for each member"});
   if (membership.leaseSettings.maxClockSkew >= membership.leaseSettings.leaseDuration)
-    faults.push_back({line, "fleet.drift", "is not below claim: no claim could ever be used"});
+    errors.push_back(
+        {line, "fleet.drift", "must be less than fleet.claim; otherwise no lease would ever be valid"});
 }
 
 } // namespace
 
-void readClusterSettings(const toml::table &in, Settings &out, std::vector<SettingsFault> &faults) {
+void readClusterSettings(const toml::table &in, Settings &out, std::vector<SettingsError> &errors) {
   cluster::Membership membership;
   std::string ownName;
   bool hasListenAddress = false;
   {
-    TableReader reader(in, "fleet.", faults);
+    TableReader reader(in, "fleet.", errors);
     reader.string("name", "the name of one of [[fleet.member]]", [&](const std::string &text) {
       ownName = text;
       return isMemberName(text);
     });
     hasListenAddress = readAddress(reader, "listen", membership.listenAddress);
-    reader.string("folder", "the path of a folder that lasts", [&](const std::string &text) {
+    reader.string("folder", "the path of a folder on persistent storage", [&](const std::string &text) {
       membership.storeFolder = text;
       return !text.empty();
     });
     readLimits(reader, membership);
-    readMembers(reader, membership, faults);
+    readMembers(reader, membership, errors);
   }
-  checkMembership(in, membership, hasListenAddress, faults);
+  checkMembership(in, membership, hasListenAddress, errors);
   const auto own = std::ranges::find(membership.members, ownName, &cluster::Member::name);
   if (own == membership.members.end())
-    faults.push_back(
+    errors.push_back(
         {lineOf(in), "fleet.name", "expected the name of one of [[fleet.member]], found '" + ownName + "'"});
   membership.ownIndex = static_cast<std::uint32_t>(own - membership.members.begin());
   out.cluster = std::move(membership);
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -6,16 +6,16 @@
 
 namespace myrtlehead::app {
 
-// Guards against a signal that comes before its reader: once blocked, it waits for one.
+// A signal that arrives before handleSignals() runs stays pending, because it is blocked, and is read later.
 int openSignalDescriptor() {
-  sigset_t set;
-  sigemptyset(&set);
-  sigaddset(&set, SIGTERM);
-  sigaddset(&set, SIGINT);
-  sigaddset(&set, SIGHUP);
-  sigprocmask(SIG_BLOCK, &set, nullptr);
+  sigset_t handledSignals;
+  sigemptyset(&handledSignals);
+  sigaddset(&handledSignals, SIGTERM);
+  sigaddset(&handledSignals, SIGINT);
+  sigaddset(&handledSignals, SIGHUP);
+  sigprocmask(SIG_BLOCK, &handledSignals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  return signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
+  return signalfd(-1, &handledSignals, SFD_NONBLOCK | SFD_CLOEXEC);
 }
 
 sched::Task<> handleSignals(sched::Scheduler &sched, net::Socket &signals, downstream::Listener &listener,
@@ -31,7 +31,8 @@
       break;
   }
   log.info("shutdown requested; finishing open requests");
-  // First the cluster member: attempts of its jobs may need descriptors that closing the listener takes.
+  // The cluster member shuts down first: attempts of its jobs may need file descriptors, and shutting down
+  // the listener takes them.
   if (clusterMember != nullptr) co_await clusterMember->shutdown();
   co_await listener.shutDown();
   log.info("shutdown complete");
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -1,5 +1,5 @@
-// The signals that a running instance heeds: SIGHUP asks for a reload, SIGTERM and SIGINT for a graceful
-// shutdown.
+// The signals that a running instance handles: SIGHUP requests a reload, SIGTERM and SIGINT request a
+// graceful shutdown.
 #pragma once
 
 #include "app/reload.h"
@@ -9,12 +9,13 @@
 
 namespace myrtlehead::app {
 
-// Blocks SIGTERM, SIGINT and SIGHUP, ignores SIGPIPE, and returns a descriptor that reads the blocked ones.
-// Call it before any thread starts: threads inherit the mask. The caller owns the descriptor.
+// Blocks SIGTERM, SIGINT and SIGHUP, ignores SIGPIPE, and returns a file descriptor from which the blocked
+// signals are read. Must be called before any thread starts, because threads inherit the signal mask. The
+// caller owns the descriptor.
 int openSignalDescriptor();
 
-// Passes each SIGHUP on to `reload`. At SIGTERM or SIGINT closes the cluster member (none: nullptr) and then
-// the listener, each to its end, and halts the scheduler.
+// Requests a reload on each SIGHUP. On SIGTERM or SIGINT it shuts down `clusterMember` (nullptr if the
+// instance is in no cluster), then the listener, waits for each to finish, and halts the scheduler.
 sched::Task<> handleSignals(sched::Scheduler &sched, net::Socket &signals, downstream::Listener &listener,
                             cluster::ClusterMember *clusterMember, ReloadRequest &reload, log::Log &log);
 
