--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,4 +1,5 @@
-// Replays a corpus: the files of the folders named, each through the target.
+// Replays a corpus without libFuzzer: runs the fuzz target on each file in the folders given as arguments.
+// The exit code is 1 if there are no files.
 #include <cstdint>
 #include <cstdio>
 #include <filesystem>
@@ -9,14 +10,14 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size);
 
 int main(int argc, char **argv) {
-  int n = 0;
+  int inputCount = 0;
   for (int i = 1; i < argc; ++i)
     for (const auto &file : std::filesystem::directory_iterator(argv[i])) {
       std::ifstream in(file.path(), std::ios::binary);
       const std::vector<char> bytes{std::istreambuf_iterator<char>(in), {}};
       LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
-      ++n;
+      ++inputCount;
     }
-  std::printf("%d inputs replayed\n", n);
-  return n > 0 ? 0 : 1;
+  std::printf("%d inputs replayed\n", inputCount);
+  return inputCount > 0 ? 0 : 1;
 }
