--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -63,10 +63,9 @@
   updateShedShare(elapsedSeconds);
   if (isSheddingLogged_ ? shedShare_ > 0 : shedShare_ < kLoggedShedShare) return;
   isSheddingLogged_ = !isSheddingLogged_;
-  due.logLines.push_back(
-      formatLine("%s: attempts take %.2f of their latency objectives, %d attempts in flight",
-                 isSheddingLogged_ ? "load shedding by priority started" : "load shedding ended",
-                 latencyRatio_, inFlight_));
+  due.logLines.push_back(formatLine("%s: attempts take %.2f of their latency objectives, %d in flight",
+                                    isSheddingLogged_ ? "load shedding started" : "load shedding ended",
+                                    latencyRatio_, inFlight_));
 }
 
 void OverloadController::updateRates(double elapsedSeconds, Nanoseconds now) {
