--- a/lab/histories.cpp
+++ b/lab/histories.cpp
@@ -21,7 +21,7 @@
 constexpr Nanoseconds kSecond = 1'000'000'000;
 constexpr Nanoseconds kUnixAtZero = 1'700'000'000 * kSecond;
 constexpr Nanoseconds kForever = 1'000'000 * kSecond;
-constexpr Nanoseconds kMaxFaultDuration = 7 * kSecond;
+constexpr Nanoseconds kMaxFaultDuration = 7 * kSecond; // longer than any injected fault
 
 class Simulation;
 
@@ -107,7 +107,7 @@
   std::vector<std::unique_ptr<MemberRun>> runs;         // all incarnations; tasks may refer to killed ones
   std::vector<std::vector<bool>> isLinkCut;             // [from][to]: messages in this direction are lost
   std::map<std::string, int> executions;                // by job
-  std::map<std::string, std::string> finalStates;       // by job, the state that was reported first
+  std::map<std::string, std::string> finalStates;       // by job, the first reported final state, or empty
   std::uint64_t lastIncarnation = 0;
   bool areFaultsOver = false;
   HistoryResult result;
@@ -211,8 +211,8 @@
 void kill(Simulation &simulation, std::uint32_t member) {
   ++simulation.result.kills;
   simulation.current[member]->isKilled = true;
-  const auto downFor = simulation.randomBetween(0, 3 * kSecond);
-  simulation.sched.spawn(restartLater(simulation, member, downFor));
+  const auto downtime = simulation.randomBetween(0, 3 * kSecond);
+  simulation.sched.spawn(restartLater(simulation, member, downtime));
 }
 
 void pause(Simulation &simulation, std::uint32_t member) {
--- a/src/cluster/http_server_connection.cpp
+++ b/src/cluster/http_server_connection.cpp
@@ -44,7 +44,7 @@
 };
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-std::string serialized(const HttpResponse &response, bool isLast) {
+std::string serialize(const HttpResponse &response, bool isLast) {
   http::response<http::string_body> out(static_cast<http::status>(response.status), 11, response.body);
   out.set(http::field::content_type, "application/json");
   if (response.status == 503) out.set(http::field::retry_after, "1");
@@ -88,10 +88,10 @@
   }
 }
 
-net::Task<> handleRequest(ConnectionPtr connection, std::shared_ptr<PendingResponse> reply,
+net::Task<> handleRequest(ConnectionPtr connection, std::shared_ptr<PendingResponse> pendingResponse,
                           HttpRequest request) {
-  reply->response = co_await connection->handler(std::move(request));
-  reply->isReady = true;
+  pendingResponse->response = co_await connection->handler(std::move(request));
+  pendingResponse->isReady = true;
   connection->changed.notify();
 }
 
@@ -103,12 +103,12 @@
       co_await sched.wait(connection->changed);
       continue;
     }
-    const auto reply = pending.front();
-    const auto text = serialized(reply->response, reply->isLast);
+    const auto pendingResponse = pending.front();
+    const auto text = serialize(pendingResponse->response, pendingResponse->isLast);
     const auto error = co_await connection->socket->write(text, {sched.now() + kTransferTimeout, nullptr});
     pending.pop_front();
-    if (error != net::ErrorCode::none || reply->isLast) connection->isClosed = true;
-    if (reply->isLast) connection->socket->shutdownWrite();
+    if (error != net::ErrorCode::none || pendingResponse->isLast) connection->isClosed = true;
+    if (pendingResponse->isLast) connection->socket->shutdownWrite();
     connection->changed.notify();
   }
   connection->socket->shutdown(); // ends the read of a task that still waits for a request
@@ -135,22 +135,22 @@
       connection->changed.notify();
       co_return;
     }
-    const auto reply = std::make_shared<PendingResponse>();
-    connection->pending.push_back(reply);
-    reply->isLast = state != ParseState::complete || !parser.get().keep_alive();
+    const auto pendingResponse = std::make_shared<PendingResponse>();
+    connection->pending.push_back(pendingResponse);
+    pendingResponse->isLast = state != ParseState::complete || !parser.get().keep_alive();
     if (state != ParseState::complete) {
-      reply->response = httpError(400, reasonOf(state));
-      reply->isReady = true;
+      pendingResponse->response = httpError(400, reasonOf(state));
+      pendingResponse->isReady = true;
       connection->changed.notify();
       co_return;
     }
     auto &message = parser.get();
     HttpRequest request{std::string(message.method_string()), std::string(message.target()),
                         std::move(message.body())};
-    sched.spawn(handleRequest(connection, reply, std::move(request)));
+    sched.spawn(handleRequest(connection, pendingResponse, std::move(request)));
     while (connection->pending.size() >= kMaxPendingResponses && !connection->isClosed)
       co_await sched.wait(connection->changed);
-    if (reply->isLast) co_return;
+    if (pendingResponse->isLast) co_return;
   }
 }
 
--- a/src/cluster/job_candidates.cpp
+++ b/src/cluster/job_candidates.cpp
@@ -7,14 +7,14 @@
 using job_lease::Job;
 using job_lease::LeaseAction;
 
-const std::optional<Job> &JobCandidates::decoded(const std::string &key,
-                                                 const consensus::AcceptorState &state) {
-  auto &known = decoded_[key];
-  if (known.accepted != state.accepted) {
+const std::optional<Job> &JobCandidates::decodeCached(const std::string &key,
+                                                      const consensus::AcceptorState &state) {
+  auto &cached = decoded_[key];
+  if (cached.accepted != state.accepted) {
     const auto record = parseStoredJson(state.value);
-    known = {state.accepted, record ? std::optional(record->job) : std::nullopt};
+    cached = {state.accepted, record ? std::optional(record->job) : std::nullopt};
   }
-  return known.job;
+  return cached.job;
 }
 
 // Whether this member may act on the job now: any member may, and the acquisition delay of this member, which
@@ -44,7 +44,7 @@
   std::vector<std::string> expired;
   openCount_ = 0;
   for (const auto &[key, state] : store_.all()) {
-    const auto &job = decoded(key, state);
+    const auto &job = decodeCached(key, state);
     if (!job) continue;
     if (job_lease::isRetentionExpired(*job, now, settings_)) expired.push_back(key);
     if (job_lease::isFinished(job->state) || runningKeys.contains(key)) {
--- a/src/cluster/job_candidates.h
+++ b/src/cluster/job_candidates.h
@@ -32,7 +32,8 @@
     consensus::Ballot accepted;
     std::optional<job_lease::Job> job;
   };
-  const std::optional<job_lease::Job> &decoded(const std::string &key, const consensus::AcceptorState &state);
+  const std::optional<job_lease::Job> &decodeCached(const std::string &key,
+                                                    const consensus::AcceptorState &state);
   bool mayActNow(const std::string &key, const job_lease::Job &job, Nanoseconds now);
   void erase(const std::string &key);
 
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -16,7 +16,7 @@
   return kReasons[static_cast<int>(outcome)];
 }
 
-ExecutionResult resultOf(ExecutionOutcome outcome, std::string reason) {
+ExecutionResult makeResult(ExecutionOutcome outcome, std::string reason) {
   ExecutionResult result{outcome, std::move(reason)};
   return result;
 }
@@ -26,16 +26,16 @@
 net::Task<ExecutionResult> RoutedJobExecutor::execute(JobRecord record,
                                                       sched::CancellationToken &cancellation) {
   const auto &routeName = record.statement.route;
-  const auto at = std::ranges::find(routes_.names, routeName);
-  if (at == routes_.names.end())
-    co_return resultOf(ExecutionOutcome::failed, "this deployment has no route " + routeName);
-  const auto route = static_cast<std::size_t>(at - routes_.names.begin());
+  const auto found = std::ranges::find(routes_.names, routeName);
+  if (found == routes_.names.end())
+    co_return makeResult(ExecutionOutcome::failed, "this deployment has no route " + routeName);
+  const auto route = static_cast<std::size_t>(found - routes_.names.begin());
   const Nanoseconds timeout = routeTimeouts_[route];
   const Nanoseconds receivedAt = sched_.now();
   const auto sql = toSql(record, timeout);
   const auto statement = pg::parseStatement(sql);
   if (statement.kind != pg::Statement::request)
-    co_return resultOf(ExecutionOutcome::failed, statement.complaint);
+    co_return makeResult(ExecutionOutcome::failed, statement.complaint);
   const bool isRetry = record.job.starts > 1;
   RequestContext request(static_cast<int>(route), statement.key, timeout, isRetry, receivedAt);
   co_return co_await runAttempts(statement, request, cancellation);
@@ -56,13 +56,13 @@
     if (!attempt.loadValues.empty()) router_.onLoadReport(request, attempt.loadValues);
     if (cancellation.isCancelled()) router_.onClientDisconnected(request);
     decision = router_.onAttemptFinished(request, lastOutcome);
-    if (lastOutcome == Outcome::succeeded) co_return resultOf(ExecutionOutcome::succeeded, "");
+    if (lastOutcome == Outcome::succeeded) co_return makeResult(ExecutionOutcome::succeeded, "");
   }
   if (cancellation.isCancelled()) router_.onClientDisconnected(request);
   if (mayHaveExecuted)
-    co_return resultOf(ExecutionOutcome::failed, std::string("its last try ") + reasonFor(lastOutcome));
+    co_return makeResult(ExecutionOutcome::failed, std::string("its last try ") + reasonFor(lastOutcome));
   const bool isShed = decision.action == AttemptDecision::shed;
-  co_return resultOf(ExecutionOutcome::neverExecuted, isShed ? "shed" : "no node for it");
+  co_return makeResult(ExecutionOutcome::neverExecuted, isShed ? "shed" : "no node for it");
 }
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/job_submission.cpp
+++ b/src/cluster/job_submission.cpp
@@ -22,7 +22,7 @@
 
 using MaybeError = std::optional<SubmissionError>;
 
-bool isName(const std::string &text) {
+bool isValidName(const std::string &text) {
   return !text.empty() && text.size() <= kMaxNameLength && std::ranges::all_of(text, [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.' || c == ':';
   });
@@ -33,7 +33,7 @@
          std::ranges::all_of(text, [](unsigned char c) { return std::isxdigit(c) != 0; });
 }
 
-std::string joined(const std::vector<std::string> &words) {
+std::string joinWithCommas(const std::vector<std::string> &words) {
   std::string out;
   for (const auto &word : words) out += (out.empty() ? "" : ", ") + word;
   return out;
@@ -76,16 +76,16 @@
 
 MaybeError readIdentity(const json &in, JobStatement &out) {
   const auto expected = fmt::format("1 to {} letters, digits or any of -_.:", kMaxNameLength);
-  if (!readString(in, "mark", out.idempotencyKey) || !isName(out.idempotencyKey))
+  if (!readString(in, "mark", out.idempotencyKey) || !isValidName(out.idempotencyKey))
     return SubmissionError{"mark", expected};
-  if (!readString(in, "submitter", out.submitter) || !isName(out.submitter))
+  if (!readString(in, "submitter", out.submitter) || !isValidName(out.submitter))
     return SubmissionError{"submitter", expected};
   return std::nullopt;
 }
 
 MaybeError readRoute(const json &in, const Routes &routes, JobStatement &out) {
   if (!readString(in, "route", out.route) || !indexOf(routes.names, out.route))
-    return SubmissionError{"route", "one of " + joined(routes.names)};
+    return SubmissionError{"route", "one of " + joinWithCommas(routes.names)};
   return std::nullopt;
 }
 
