--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -5,14 +5,14 @@
 void EndpointSet::onUpdate(Endpoint &endpoint, const EndpointInfo &info) {
   endpoint.info = info;
   endpoint.isReady = info.state == EndpointState::ready;
-  endpoint.inListBeingRead = true;
+  endpoint.seenInListUpdate = true;
 }
 
 void EndpointSet::onUpdatesApplied(bool isFullList) {
   ready_.clear();
   for (auto &endpoint : endpoints_) {
-    if (isFullList && !endpoint.inListBeingRead) endpoint.isReady = false;
-    endpoint.inListBeingRead = false;
+    if (isFullList && !endpoint.seenInListUpdate) endpoint.isReady = false;
+    endpoint.seenInListUpdate = false;
     if (endpoint.isReady) ready_.push_back(&endpoint);
   }
 }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -86,7 +86,7 @@
   if (deployment.hasPeers && context.endpoint_->version == context.endpointVersion_) {
     auto &endpoint = *context.endpoint_->policyEndpoint;
     gossip_.onOutcome(endpoint.fingerprint, outcome);
-    endpoint.health.suspectUntilByPeers = gossip_.suspectUntil(endpoint.fingerprint);
+    endpoint.health.peerSuspicionUntil = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
   return toAttemptDecision(context,
@@ -202,7 +202,7 @@
     if (!known.isReady || isChanged) {
       ++known.version;
       gossip_.onEndpointReplaced(known.policyEndpoint->fingerprint);
-      known.policyEndpoint->health.suspectUntilByPeers = 0;
+      known.policyEndpoint->health.peerSuspicionUntil = 0;
     }
     known.address = entry.address;
     policy_.onEndpointUpdate(*known.policyEndpoint, after, now());
@@ -287,13 +287,13 @@
   for (const auto &observed : message.observations)
     for (auto &known : endpoints_)
       if (known.policyEndpoint->fingerprint == observed.fingerprint)
-        known.policyEndpoint->health.suspectUntilByPeers = gossip_.suspectUntil(observed.fingerprint);
+        known.policyEndpoint->health.peerSuspicionUntil = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListFreshness() {
   const auto sources = merge_ != nullptr ? EndpointSources::discoveryAndDns : EndpointSources::discovery;
   const Nanoseconds since = subscription_.proofRequiredSince(now(), sources);
-  const Nanoseconds before = policy_.provenSince();
+  const Nanoseconds before = policy_.requiredSuccessSince();
   if (since == kNoProofAccepted && before != since)
     log_.warning("no endpoint list received since startup and a poll failed: nothing is forwarded until a "
                  "list arrives");
@@ -301,14 +301,14 @@
     log_.info("endpoint list out of date: forwarding only to endpoints that have answered recently");
   else if (since == 0 && before != 0)
     log_.info("endpoint list up to date again");
-  policy_.trustOnlyProvenSince(since);
+  policy_.requireSuccessSince(since);
 }
 
 void Router::runDueTasks() {
   updateListFreshness();
   auto due = policy_.runDueTasks(now());
   if (policy_.deployment().hasPeers)
-    for (auto &message : gossip_.messagesDue(now(), gossipRandom_))
+    for (auto &message : gossip_.takeDueMessages(now(), gossipRandom_))
       due.messages.push_back(std::move(message));
   for (const auto &line : due.logLines) log_.info(line);
   for (auto &message : due.messages) pendingPeerMessages_.push_back(std::move(message));
