--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -232,7 +232,7 @@
   out.loadValues = parseLoadReport(value, loadFields_);
   if (!out.loadValues.empty() || loadFields_.empty() || hasLoggedBadLoadReport_) return;
   hasLoggedBadLoadReport_ = true;
-  log_.warning("invalid load report: a configured field is missing or is not a number from 0 to 1000000",
+  log_.warning("invalid load report: a field is missing or not a number from 0 to 1000000",
                {{"report", value.substr(0, kMaxLoggedBytes)}});
 }
 
