--- a/src/policy/rollout_tracker.h
+++ b/src/policy/rollout_tracker.h
@@ -25,7 +25,7 @@
   const RolloutState &state() const { return state_; }
   // Whether a build is a candidate, that is, newer than the newest released build. A build that the platform
   // has not announced yet counts as a candidate in its first stage. Before the platform has announced any
-  // build, every build but the oldest ready one counts as such a candidate.
+  // build, every build but the oldest ready one counts as a candidate in its first stage.
   bool isCandidate(int build) const;
   // The maximum number of attempts at the build for each request.
   double exposureCap(int build) const;
--- a/src/policy/sequential_test.h
+++ b/src/policy/sequential_test.h
@@ -45,7 +45,7 @@
   // Reports the ratios that have not reached the reported step, once a second. Draws one random number for
   // each ratio below minReportedChange().
   void reportRemainders(Nanoseconds now, RandomEngine &random, DueActions &due);
-  // Whether the newest build has too many recent outcomes for each outcome of the baseline to be compared.
+  // Whether the newest build has more recent outcomes than the baseline's can be compared with.
   bool lacksBaselineOutcomes() const { return candidateOutcomes_ > kMaxCandidateRatio * baselineOutcomes_; }
 
   // Channel 0 holds all outcomes, the next ones hold one route each, and the last one holds wrong answers.
