--- a/src/policy/exposure_budget.h
+++ b/src/policy/exposure_budget.h
@@ -1,8 +1,8 @@
 // Limits the attempts at candidate builds to a share of the requests: any time window may hold at most
-// freeAttempts plus the exposure cap times the requests received in it.
+// burstAttempts plus the exposure cap times the requests received in it.
 //
 // The limit is kept as a token bucket: each request adds the cap, each attempt at a candidate takes 1, and
-// the bucket holds at most freeAttempts. The limit therefore also holds for windows that have not ended yet,
+// the bucket holds at most burstAttempts. The limit therefore also holds for windows that have not ended yet,
 // and while the request rate falls.
 #pragma once
 
