--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -31,8 +31,8 @@
   return first != std::string::npos && text[first] == '{';
 }
 
-// Takes the key from the quotation marks in the decoder's error, and the line from the key's first use in
-// `text`.
+// Returns the error with the key between the first two apostrophes of its message, and with the line on which
+// this key first occurs in `text`.
 settings::SettingsError locateError(const std::string &text, const std::string &error) {
   settings::SettingsError located{lineOfParseError(text, error), "", error};
   const auto open = error.find('\'');
@@ -63,17 +63,17 @@
 
 } // namespace
 
-int check(const std::vector<std::string> &files, OutputForm form) {
+int check(const std::vector<std::string> &files, OutputFormat format) {
   nlohmann::json allErrors = nlohmann::json::array();
   for (const auto &file : files) {
     const auto errors = findErrors(file);
-    if (form == OutputForm::text) printText(file, errors);
+    if (format == OutputFormat::text) printText(file, errors);
     for (const auto &error : errors)
       allErrors.push_back(
           {{"file", file}, {"line", error.line}, {"key", error.key}, {"what", error.message}});
   }
   const bool isValid = allErrors.empty();
-  if (form == OutputForm::json)
+  if (format == OutputFormat::json)
     fmt::print("{}\n", nlohmann::json{{"fine", isValid}, {"faults", allErrors}}.dump(2));
   return isValid ? 0 : 1;
 }
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -42,8 +42,9 @@
 
 } // namespace
 
-DnsParts::DnsParts(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
-                   const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log)
+DnsComponents::DnsComponents(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
+                             const bootstrap::BootstrapConfig &config, const settings::Settings &settings,
+                             log::Log log)
     : metrics(registry), merge(settings.dns.merge, settings.dns.resolution.staleTime, config.deployment.zone,
                                subsetting::Subset(config.deployment.instanceCount, config.deployment.ownIndex,
                                                   settings.dns.subsetSize)),
@@ -70,9 +71,10 @@
                      config.controlCallTimeout),
       connectionPool_(sched_, budget_, upstreamLog_, config.connectTimeout, config.idleTimeout,
                       config.loadReportNames, config.memoryBytes / kLargeMessageMemoryDivisor),
-      dns_(settings.dns.srvNames.empty() ? nullptr
-                                         : std::make_unique<DnsParts>(sched_, budget_, router_, config,
-                                                                      settings, logs_.forPackage("names"))),
+      dns_(settings.dns.srvNames.empty()
+               ? nullptr
+               : std::make_unique<DnsComponents>(sched_, budget_, router_, config, settings,
+                                                 logs_.forPackage("names"))),
       metricsServer_(!settings.metricsAddress ? nullptr
                                               : std::make_unique<admin::MetricsServer>(
                                                     sched_, budget_, dns_ ? dns_->registry : emptyRegistry_,
@@ -89,8 +91,9 @@
   clusterMember_ = makeClusterMember();
   listener_.emplace(sched_, budget_, router_, connectionPool_, downstreamLog_, config.listenAddress,
                     config.routeNames, config.routeTimeouts, config.memoryBytes / kLargeMessageMemoryDivisor);
-  reloadableParts_.emplace(ReloadableParts{options_, config_, settings_, endpointWatch_, rolloutClient_,
-                                           dns_ ? &dns_->discovery : nullptr, logs_});
+  reloadableComponents_.emplace(ReloadableComponents{options_, config_, settings_, endpointWatch_,
+                                                     rolloutClient_, dns_ ? &dns_->discovery : nullptr,
+                                                     logs_});
 }
 
 // Applies the endpoint list and the rollout state that the configuration contains.
@@ -134,7 +137,7 @@
   if (clusterMember_) clusterMember_->start();
   sched_.spawn(listener_->acceptConnections());
   sched_.spawn(listener_->sweepIdleConnections());
-  sched_.spawn(applyReloads(sched_, *reloadableParts_, reloadRequest_, log_));
+  sched_.spawn(applyReloads(sched_, *reloadableComponents_, reloadRequest_, log_));
   sched_.spawn(handleSignals(sched_, signals_, *listener_, clusterMember_.get(), reloadRequest_, log_));
 }
 
--- a/src/app/instance.h
+++ b/src/app/instance.h
@@ -20,9 +20,9 @@
 namespace myrtlehead::app {
 
 // DNS discovery and the objects that it uses. They exist only if the settings list SRV names.
-struct DnsParts {
-  DnsParts(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
-           const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log);
+struct DnsComponents {
+  DnsComponents(sched::Scheduler &sched, net::DescriptorBudget &budget, Router &router,
+                const bootstrap::BootstrapConfig &config, const settings::Settings &settings, log::Log log);
   prometheus::Registry registry;
   dns_discovery::DnsMetrics metrics;
   endpoint_merge::EndpointMerge merge;
@@ -63,7 +63,7 @@
   discovery::EndpointWatch endpointWatch_;
   rollout::RolloutClient rolloutClient_;
   upstream::ConnectionPool connectionPool_;
-  std::unique_ptr<DnsParts> dns_;                       // null if the settings list no SRV names
+  std::unique_ptr<DnsComponents> dns_;                  // null if the settings list no SRV names
   prometheus::Registry emptyRegistry_;                  // served as the metrics if there is no DNS discovery
   std::unique_ptr<admin::MetricsServer> metricsServer_; // null if the settings have no metrics address
   net::Socket signals_;
@@ -71,7 +71,7 @@
   std::unique_ptr<cluster::ClusterMember> clusterMember_; // null if the settings have no [fleet] table
   std::optional<downstream::Listener> listener_;          // created last, in the constructor's body
   ReloadRequest reloadRequest_;
-  std::optional<ReloadableParts> reloadableParts_;
+  std::optional<ReloadableComponents> reloadableComponents_;
 };
 
 } // namespace myrtlehead::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -23,13 +23,17 @@
   app::ServeOptions serve;
   std::string logLevels;
   std::string logForm;
-  std::string outputForm = "text";
+  std::string outputFormat = "text";
   std::vector<std::string> files; // of `check`
   std::vector<std::string> names; // of `resolve`
   std::string servers;            // of `resolve`
   std::string within = "5s";      // of `resolve`
 };
 
+app::OutputFormat outputFormat(const CommandLine &line) {
+  return line.outputFormat == "json" ? app::OutputFormat::json : app::OutputFormat::text;
+}
+
 log::Levels parseLevels(const std::string &text) {
   const auto levels = log::parseLevels(text);
   if (!levels)
@@ -59,7 +63,7 @@
   auto *check = app.add_subcommand("check",
                                    "Validate configuration and settings files and print their errors");
   check->add_option("FILE", line.files, "A configuration file (JSON) or a settings file (TOML)")->required();
-  check->add_option("--output", line.outputForm, "Output format")->check(CLI::IsMember({"text", "json"}));
+  check->add_option("--output", line.outputFormat, "Output format")->check(CLI::IsMember({"text", "json"}));
   return check;
 }
 
@@ -70,7 +74,7 @@
       ->required();
   resolve->add_option("--within", line.within, "Time limit for all look-ups, for example 5s")
       ->capture_default_str();
-  resolve->add_option("--output", line.outputForm, "Output format")->check(CLI::IsMember({"text", "json"}));
+  resolve->add_option("--output", line.outputFormat, "Output format")->check(CLI::IsMember({"text", "json"}));
   resolve->add_option("--log", line.logLevels, "Minimum log level");
   return resolve;
 }
@@ -105,13 +109,11 @@
   const auto timeout = settings::parseDuration(line.within);
   if (!timeout)
     throw CLI::ValidationError("--within", "'" + line.within + "' is not a duration such as 5s or 250ms");
-  return app::resolve(line.names, servers, *timeout, line.outputForm == "json",
+  return app::resolve(line.names, servers, *timeout, outputFormat(line),
                       parseLevels(line.logLevels.empty() ? "error" : line.logLevels));
 }
 
-int check(const CommandLine &line) {
-  return app::check(line.files, line.outputForm == "json" ? app::OutputForm::json : app::OutputForm::text);
-}
+int check(const CommandLine &line) { return app::check(line.files, outputFormat(line)); }
 
 int printVersion() {
   std::cout << "myrtlehead " << kVersion << '\n';
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -31,26 +31,27 @@
 }
 
 // Applies the settings file only if it has no errors. Throws ConfigError if the file cannot be read.
-void applySettings(const ReloadableParts &parts, const bootstrap::BootstrapConfig &config, log::Log &log) {
-  const auto &path = parts.options.settingsPath;
+void applySettings(const ReloadableComponents &components, const bootstrap::BootstrapConfig &config,
+                   log::Log &log) {
+  const auto &path = components.options.settingsPath;
   if (path.empty()) return;
   const auto read = settings::readSettings(bootstrap::readFile(path), config.zoneNames);
   if (!read.errors.empty())
     return log.error("the new settings are not applied",
                      {{"why", settings::formatError(path, read.errors.front())}});
-  warnIfRestartNeeded(settings::fieldsNeedingRestart(parts.startedSettings, read.settings), log);
-  if (!parts.options.logLevels) parts.logs.setLevels(read.settings.logLevels);
-  if (parts.dnsDiscovery != nullptr) parts.dnsDiscovery->setServers(read.settings.dns.servers);
+  warnIfRestartNeeded(settings::fieldsNeedingRestart(components.startedSettings, read.settings), log);
+  if (!components.options.logLevels) components.logs.setLevels(read.settings.logLevels);
+  if (components.dnsDiscovery != nullptr) components.dnsDiscovery->setServers(read.settings.dns.servers);
 }
 
-sched::Task<> applyReload(sched::Scheduler &sched, const ReloadableParts &parts, log::Log &log) {
-  const auto config = co_await readConfigWithRetries(sched, parts.options.configPath, log);
+sched::Task<> applyReload(sched::Scheduler &sched, const ReloadableComponents &components, log::Log &log) {
+  const auto config = co_await readConfigWithRetries(sched, components.options.configPath, log);
   if (!config) co_return;
-  warnIfRestartNeeded(bootstrap::fieldsNeedingRestart(parts.startedConfig, *config), log);
-  parts.endpointWatch.moveTo(config->discoveryAddress);
-  parts.rolloutClient.moveTo(config->platformAddress);
+  warnIfRestartNeeded(bootstrap::fieldsNeedingRestart(components.startedConfig, *config), log);
+  components.endpointWatch.moveTo(config->discoveryAddress);
+  components.rolloutClient.moveTo(config->platformAddress);
   try {
-    applySettings(parts, *config, log);
+    applySettings(components, *config, log);
   } catch (const std::exception &e) {
     log.error("the new settings are not applied", {{"why", e.what()}});
   }
@@ -60,12 +61,12 @@
 
 } // namespace
 
-sched::Task<> applyReloads(sched::Scheduler &sched, const ReloadableParts &parts, ReloadRequest &request,
-                           log::Log &log) {
+sched::Task<> applyReloads(sched::Scheduler &sched, const ReloadableComponents &components,
+                           ReloadRequest &request, log::Log &log) {
   for (;;) {
     while (!request.isPending) co_await sched.wait(request.requested);
     request.isPending = false;
-    co_await applyReload(sched, parts, log);
+    co_await applyReload(sched, components, log);
   }
 }
 
--- a/src/app/reload.h
+++ b/src/app/reload.h
@@ -24,7 +24,7 @@
 
 // The objects that a reload reads and changes. It changes the addresses of discovery, the platform and the
 // DNS servers, and the log levels. All objects must outlive the task of applyReloads().
-struct ReloadableParts {
+struct ReloadableComponents {
   const ServeOptions &options;
   const bootstrap::BootstrapConfig &startedConfig;
   const settings::Settings &startedSettings;
@@ -36,7 +36,7 @@
 
 // Applies reload requests until the task is destroyed. A configuration that cannot be decoded changes
 // nothing; settings that have errors change no setting. The error is logged.
-sched::Task<> applyReloads(sched::Scheduler &sched, const ReloadableParts &parts, ReloadRequest &request,
-                           log::Log &log);
+sched::Task<> applyReloads(sched::Scheduler &sched, const ReloadableComponents &components,
+                           ReloadRequest &request, log::Log &log);
 
 } // namespace myrtlehead::app
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -87,7 +87,7 @@
 } // namespace
 
 int resolve(const std::vector<std::string> &names, const std::vector<net::Address> &servers,
-            sched::Nanoseconds timeout, bool json, log::Levels levels) {
+            sched::Nanoseconds timeout, OutputFormat format, log::Levels levels) {
   dns_discovery::DnsSettings settings;
   settings.servers = servers;
   for (const auto &name : names) settings.srvNames.push_back({name, -1, -1});
@@ -112,7 +112,7 @@
     out["sets"].push_back(describeSrvName(discovery, names[i], i, now));
   out["servers"] = describeEndpoints(discovery, merge, now);
   const bool hasEndpoints = !out["servers"].empty();
-  if (json)
+  if (format == OutputFormat::json)
     fmt::print("{}\n", out.dump(2));
   else
     print(out);
