--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -52,7 +52,8 @@
   // Notifications of the endpoint list.
   Endpoint &addEndpoint() { return endpoints_.add(); }
   void onEndpointUpdate(Endpoint &endpoint, const EndpointInfo &info, Nanoseconds now);
-  void onEndpointListComplete(bool isComplete) { endpoints_.onUpdatesApplied(isComplete); }
+  // See EndpointSet::onUpdatesApplied().
+  void onEndpointUpdatesApplied(bool isFullList) { endpoints_.onUpdatesApplied(isFullList); }
   // See OutlierDetector::requireSuccessSince().
   void requireSuccessSince(Nanoseconds since) { outliers_.requireSuccessSince(since); }
   void onLoadReport(Endpoint &endpoint, const std::vector<float> &values, Nanoseconds now);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -207,7 +207,7 @@
     known.address = entry.address;
     policy_.onEndpointUpdate(*known.policyEndpoint, after, now());
   }
-  policy_.onEndpointListComplete(isComplete);
+  policy_.onEndpointUpdatesApplied(isComplete);
   for (auto &known : endpoints_) {
     if (known.isReady && !known.policyEndpoint->isReady) ++known.version; // missing from a complete list
     known.isReady = known.policyEndpoint->isReady;
--- a/src/sim/adapter/notifications.cpp
+++ b/src/sim/adapter/notifications.cpp
@@ -59,7 +59,7 @@
     }
     instance.policy.onEndpointUpdate(*known, entry.info, now_);
   }
-  instance.policy.onEndpointListComplete(kind != delta);
+  instance.policy.onEndpointUpdatesApplied(kind != delta);
   if (kind != cached) instance.subscription.onAnswered();
 }
 
