--- a/src/cluster/job_candidates.cpp
+++ b/src/cluster/job_candidates.cpp
@@ -17,8 +17,8 @@
   return cached.job;
 }
 
-// Whether this member may act on the job now: any member may, and the acquisition delay of this member, which
-// gives way to the members that come earlier in the job's order, has passed.
+// Whether this member may act on the job now. It may once decideLease() has permitted an action for as long
+// as this member's acquisition delay, so that members which come earlier in the job's order act first.
 bool JobCandidates::mayActNow(const std::string &key, const Job &job, Nanoseconds now) {
   const auto action = job_lease::decideLease(job, now, settings_).action;
   if (action != LeaseAction::acquire && action != LeaseAction::abandon) {
--- a/src/cluster/job_executor.h
+++ b/src/cluster/job_executor.h
@@ -9,8 +9,8 @@
 class JobExecutor {
 public:
   virtual ~JobExecutor() = default;
-  // Returns once the statement has finished or `cancellation` is set. A statement that may have been executed
-  // without a known result counts as failed.
+  // Returns once the statement has finished or `cancellation` is cancelled. A statement that may have been
+  // executed without a known result counts as failed.
   virtual net::Task<job_lease::ExecutionResult> execute(JobRecord record,
                                                         sched::CancellationToken &cancellation) = 0;
 };
--- a/src/cluster/member_client.h
+++ b/src/cluster/member_client.h
@@ -1,6 +1,6 @@
 // Calls from one member to another. A call has a request and a deadline; it returns a response, or a failure
-// with the progress of the request. The consensus code reaches other members only through MemberClient, so
-// the laboratory can run that code over simulated links.
+// that states how much of the request was sent. The consensus code reaches other members only through
+// MemberClient, so the laboratory can run that code over simulated links.
 #pragma once
 
 #include "base/http_client/persistent_connection.h"
--- a/src/cluster/register_store.cpp
+++ b/src/cluster/register_store.cpp
@@ -92,6 +92,8 @@
     // The new incarnation is greater than the stored one. If the file was lost, the Unix time makes it
     // greater than those of earlier runs.
     incarnation_ = std::max(incarnation_ + 1, unixNow);
+    // The columns of the ballots: p is promised, a is accepted; r is the round, l the incarnation, m the
+    // member.
     executeSql(
         db_,
         "CREATE TABLE IF NOT EXISTS registers (key BLOB PRIMARY KEY, pr INTEGER, pl INTEGER, pm INTEGER, "
@@ -115,8 +117,8 @@
   executeSql(db_, "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL");
 }
 
-// Checks the file's format version and member, and reads the last incarnation. A new file contains none of
-// them.
+// Checks the file's format version (column `form`) and member (`owner`), and reads the last incarnation
+// (`life`). A new file contains none of them.
 std::optional<StorageError> SqliteRegisterStore::readMeta(const std::string &memberName) {
   executeSql(db_, "CREATE TABLE IF NOT EXISTS meta (form INTEGER, owner BLOB, life INTEGER)");
   SqliteStatement meta(db_, "SELECT form, owner, life FROM meta");
--- a/src/policy/build_selector.cpp
+++ b/src/policy/build_selector.cpp
@@ -22,7 +22,8 @@
 };
 
 // The ready endpoints that the request may go to. In each pool only the endpoints of the request's priority
-// group remain if there are any.
+// group remain if there are any. Then the older builds are removed from the baseline pool if the newest
+// baseline build runs on at least half of the pool.
 BuildSelector::Pools BuildSelector::poolsFor(const Request &request) const {
   Pools pools;
   int newestBaseline = 0;
@@ -63,7 +64,8 @@
 
 // Keeps the evaluation of the candidate valid: on a more loaded endpoint, late answers would be caused by the
 // load and not by the build, and the baseline needs outcomes for the comparison. While the build is rolled
-// back, its endpoints only get the requests that the returning endpoints cannot take yet.
+// back, its endpoints get only the requests that the endpoints which have returned to the baseline cannot
+// take yet.
 bool BuildSelector::prefersCandidate(const Endpoint &candidate, const Endpoint &baseline,
                                      Nanoseconds now) const {
   const bool isEvaluating = rollout_.state().phase == RolloutPhase::evaluating;
--- a/src/policy/build_selector.h
+++ b/src/policy/build_selector.h
@@ -20,8 +20,9 @@
 
   // Returns the endpoint for a request's next attempt, or nullptr if no endpoint may be used now.
   Endpoint *choose(const Request &request, Nanoseconds now, RandomEngine &random) const;
-  // Whether a candidate's endpoint will be more loaded than the mean endpoint with one more attempt, so that
-  // late answers are caused by the load and are no evidence against the build.
+  // Whether one more attempt raises the load of a candidate's endpoint so far above the load of the mean
+  // endpoint (kMaxEvidenceLoadRatio) that late answers are no evidence against the build, because the load
+  // causes them.
   bool exceedsMeanLoad(const Endpoint &endpoint, Nanoseconds now) const;
 
 private:
--- a/src/policy/deployment.h
+++ b/src/policy/deployment.h
@@ -61,13 +61,15 @@
   double warmupStartFraction = 1;   // share of its capacity that an endpoint has at its start
   Nanoseconds coldBudgetWindow = 0; // window over which the load on a cold endpoint is limited
   double coldBudgetMultiple = 1;    // maximum load over that window, as a multiple of the current capacity
-  Nanoseconds maxRetryAfter = 0;
-  Nanoseconds pollInterval = 0;   // maximum interval between polls of the endpoint list without a watch
-  double crossZoneCost = 0;       // cost of an attempt in another zone, in points set by the operators
-  int maxAttempts = 1;            // maximum number of attempts for one request
-  bool pollsEndpointList = false; // the instance polls the endpoint list; otherwise it is pushed
-  bool hasPeers = false;          // instances can send messages to each other
-  bool sendsRetryAfter = false;   // shed requests are answered with a Retry-After delay
+  Nanoseconds maxRetryAfter = 0;    // upper limit of the Retry-After delay
+  Nanoseconds pollInterval = 0;     // maximum interval between polls of the endpoint list without a watch
+  double crossZoneCost = 0;         // cost of an attempt in another zone, in points set by the operators
+  int maxAttempts = 1;              // maximum number of attempts for one request
+  // The instance polls the fleet's discovery service for the endpoint list. Otherwise the list is pushed, or
+  // a local agent that serves only this instance provides it.
+  bool pollsEndpointList = false;
+  bool hasPeers = false;        // instances can send messages to each other
+  bool sendsRetryAfter = false; // shed requests are answered with a Retry-After delay
 };
 
 } // namespace myrtlehead
--- a/src/policy/discovery_subscription.cpp
+++ b/src/policy/discovery_subscription.cpp
@@ -27,7 +27,7 @@
 constexpr Nanoseconds kListReliableFor = kCountsAsNotifiedAfter - kNotificationMargin;
 constexpr Nanoseconds kListReliableAfterMove = kCountsAsNotifiedAfterMove - kNotificationMargin;
 // How long an answer from an endpoint proves that the endpoint is not being removed. This is two seconds less
-// than kCountsAsNotifiedAfter, because a draining endpoint may serve requests for that long.
+// than kCountsAsNotifiedAfter, because a draining endpoint may go on serving requests for two seconds.
 constexpr Nanoseconds kProofLifetime = 4 * kSecond;
 // 0 is not used as a proof time, because it means that the list is up to date.
 constexpr Nanoseconds kMinProofTime = 1;
@@ -41,12 +41,15 @@
 constexpr Nanoseconds kMaxBackoff = 6 * kSecond;
 constexpr int kMaxBackoffDoublings = 10; // avoids an undefined shift; kMaxBackoff is reached earlier
 constexpr Nanoseconds kLocalAgentBackoff = 150 * kMillisecond;
-constexpr double kMinBackoffJitter = 0.2; // fraction of the backoff
+// A backoff is multiplied by a random factor from kMinBackoffJitter to kMinBackoffJitter +
+// kBackoffJitterRange.
+constexpr double kMinBackoffJitter = 0.2;
 constexpr double kBackoffJitterRange = 1.6;
 
 } // namespace
 
-// Returns this instance's offset within the window. The offsets of all instances are evenly spaced.
+// Returns this instance's offset within the window. The window is divided into one slot of equal length for
+// each instance, and `jitter` places the offset within the slot of this instance.
 Nanoseconds DiscoverySubscription::offsetInWindow(Nanoseconds window, double jitter) const {
   return static_cast<Nanoseconds>(static_cast<double>(window) * (ownIndex_ + jitter) /
                                   std::max(instanceCount_, 1));
--- a/src/policy/discovery_subscription.h
+++ b/src/policy/discovery_subscription.h
@@ -2,9 +2,9 @@
 // that is no longer updated. No I/O: time and jitter are arguments.
 //
 // Terms: a poll is a request for the list. Once answered it becomes a watch, which sends watch events and,
-// while nothing changes, keep-alives. A call is either of the two. Discovery is one service for the whole
-// fleet, so polls that all instances would make at the same moment are spread over the available time, by
-// instance index and jitter.
+// while nothing changes, keep-alives. A call is a poll or the watch that it has become, so the next call to
+// send is always a poll. Discovery is one service for the whole fleet, so polls that all instances would make
+// at the same moment are spread over the available time, by instance index and jitter.
 #pragma once
 
 #include "policy/deployment.h"
@@ -13,7 +13,8 @@
 
 namespace myrtlehead {
 
-constexpr Nanoseconds kNoCallDue = std::numeric_limits<Nanoseconds>::max(); // value of nextCallAt()
+// Value of nextCallAt(): no poll is to be sent.
+constexpr Nanoseconds kNoCallDue = std::numeric_limits<Nanoseconds>::max();
 // Value of proofRequiredSince(): requests may not be forwarded to any endpoint.
 constexpr Nanoseconds kNoProofAccepted = std::numeric_limits<Nanoseconds>::max();
 
@@ -72,7 +73,8 @@
 private:
   Nanoseconds offsetInWindow(Nanoseconds window, double jitter) const;
   Nanoseconds backoffAfter(CallEnd end) const;
-  bool hasSentCall() const { return listUpToDateAt_ != kNoCallDue; }
+  static constexpr Nanoseconds kNoCallSent = std::numeric_limits<Nanoseconds>::max();
+  bool hasSentCall() const { return listUpToDateAt_ != kNoCallSent; }
   bool hasRecentMessage(Nanoseconds now) const;
 
   int ownIndex_;
@@ -81,8 +83,8 @@
   Nanoseconds pollInterval_;
   Nanoseconds nextCallAt_ = 0;
   Nanoseconds lastMessageAt_ = 0; // time of the latest message from the current address; 0: none yet
-  // When the list last contained every change; kNoCallDue: no call sent yet.
-  Nanoseconds listUpToDateAt_ = kNoCallDue;
+  // The latest time at which the list is known to have contained every change; kNoCallSent: no call sent yet.
+  Nanoseconds listUpToDateAt_ = kNoCallSent;
   Nanoseconds addressChangedAt_ = 0; // 0: a message was received since the latest address change
   bool hasFailedSinceStart_ = false; // a call has failed, and no message was received since the start
   int consecutiveFailures_ = 0;
--- a/src/policy/dns_lookup.h
+++ b/src/policy/dns_lookup.h
@@ -12,8 +12,10 @@
 
 namespace myrtlehead::dns_resolution {
 
-constexpr int kMaxAliases = 8;        // CNAME records followed in one look-up
-constexpr int kMaxTcpTruncations = 2; // truncated TCP responses in one look-up; a correct server sends none
+constexpr int kMaxAliases = 8; // CNAME records followed in one look-up
+// The first truncated TCP response of a look-up is retried; from this number on, each fails its query. A
+// correct server sends none.
+constexpr int kMaxTcpTruncations = 2;
 
 // Selects among the DNS servers of an instance and backs off from servers that fail.
 class DnsServers {
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -14,7 +14,7 @@
 struct EndpointInfo {
   int build = 0;
   int zone = 0;
-  int cell = 0;
+  int cell = 0; // a set of endpoints that recognise each other's idempotency keys; see IdempotencyScope
   Nanoseconds startedAt = 0; // 0: unknown; the endpoint counts as warm
   EndpointState state = EndpointState::ready;
   int priorityGroup = 0; // 0 is the preferred group
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -41,7 +41,7 @@
 void EndpointList::restore(const std::vector<Entry> &entries,
                            const std::vector<std::pair<std::string, Nanoseconds>> &departed) {
   for (const auto &entry : entries) entries_.try_emplace(entry.name, entry);
-  for (const auto &[address, lastMention] : departed) departed_.add(address, lastMention);
+  for (const auto &[address, lastSeenAt] : departed) departed_.add(address, lastSeenAt);
   isDown_ = true;
 }
 
--- a/src/policy/endpoint_merge.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -102,7 +102,7 @@
     for (const auto &[key, target] : set.targets())
       if (target.isPresent && isInSubset(key)) needsRelease[key.first] |= set.release() < 0;
   std::vector<HostLookup> out;
-  for (const auto &[host, release] : needsRelease) out.push_back({host, release});
+  for (const auto &[host, isReleaseNeeded] : needsRelease) out.push_back({host, isReleaseNeeded});
   return out;
 }
 
@@ -128,8 +128,8 @@
   for (auto &set : sets_) {
     const bool isExpired = set.isExpired(now, staleTime_);
     for (auto &[key, target] : set.targets()) {
-      const bool isRemovedButServes = !target.isPresent && set.mayServeRemoved(now);
-      const bool needsLastResort = isRemovedButServes || (target.isPresent && isExpired);
+      const bool isServedAfterRemoval = !target.isPresent && set.mayServeRemoved(now);
+      const bool needsLastResort = isServedAfterRemoval || (target.isPresent && isExpired);
       const bool isEligible = isLastResort ? needsLastResort || target.isPresent
                                            : !needsLastResort && target.isPresent;
       if (!isEligible) continue;
@@ -276,8 +276,8 @@
   for (const auto &[name, entry] : list_.entries()) out.listed.push_back(entry);
   const auto &departed = list_.departed().all();
   out.departed.assign(departed.begin(), departed.end());
-  for (const auto &[address, sighting] : startTimes_.all())
-    out.starts.emplace_back(address, sighting.startedAt);
+  for (const auto &[address, startTime] : startTimes_.all())
+    out.starts.emplace_back(address, startTime.startedAt);
   return out;
 }
 
@@ -286,7 +286,7 @@
     const auto set = std::find_if(sets_.begin(), sets_.end(),
                                   [&](const SrvRecordSet &known) { return known.name() == saved.name; });
     if (set == sets_.end()) continue;
-    set->restoreAge(saved.answeredAt, saved.validUntil);
+    set->restoreAnswerTimes(saved.answeredAt, saved.validUntil);
     for (const auto &target : saved.targets) set->restoreTarget(target.target, target.removedAt);
   }
   for (const auto &host : snapshot.hosts) hosts_.restore(host.name, host.addresses, host.release);
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -34,7 +34,7 @@
   std::size_t listed = 0;           // endpoints that the list has in service
   std::size_t inDns = 0;            // addresses that DNS records contain
   std::size_t drainingButInDns = 0; // draining or removed by the list, but still in DNS records
-  std::size_t listedNotInDns = 0;   // in service by the list, but missing from DNS records
+  std::size_t listedNotInDns = 0;   // in service according to the list, but missing from DNS records
   std::size_t addressesWithTwoNames = 0;
   std::size_t buildMismatches = 0;   // endpoints whose list entry and DNS records give different builds
   std::size_t unresolvedTargets = 0; // SRV targets without an address
--- a/src/policy/exposure_budget.cpp
+++ b/src/policy/exposure_budget.cpp
@@ -20,8 +20,8 @@
   return deployment_.rollout.capPerRoute ? static_cast<std::size_t>(request.route) : 0;
 }
 
-// The lowest exposure cap of all ready candidates and the newest announced build, or the build after that if
-// it is no candidate any more.
+// The lowest exposure cap of all ready candidates and of the newest announced build. If that build is no
+// longer a candidate, the cap of the build after it is used instead.
 double ExposureBudget::lowestCap() const {
   const int newest = rollout_.isKnown() ? rollout_.state().build : 0;
   double cap = rollout_.isCandidate(newest) ? rollout_.exposureCap(newest) : rollout_.exposureCap(newest + 1);
--- a/src/policy/fusion_center.cpp
+++ b/src/policy/fusion_center.cpp
@@ -12,9 +12,11 @@
 namespace {
 
 constexpr double kThresholdBase = 8; // the logarithm of the number of the stage's outcomes is added to it
-// The threshold allows for this many standard deviations of the total rounding error of the reports.
+// The threshold allows for this many standard deviations of the total rounding error of the reports, which
+// SequentialTest::reportRemainders() rounds at random.
 constexpr double kRoundingDeviations = 1.5;
-// Share of a build's endpoints, and one endpoint at least, whose contributions are treated as outliers.
+// The contributions of this share of a build's endpoints, and of one endpoint at least, are treated as
+// outliers.
 constexpr double kOutlierShare = 0.25;
 constexpr double kMinEndpointsForOutliers = 3;
 constexpr std::size_t kMaxContributors = 256; // endpoints with a contribution of their own; bounds memory
@@ -55,6 +57,7 @@
   auto &channel = channels_[index];
   const double before = std::max(channel.cusum, 0.0);
   channel.cusum = before + ratioChange;
+  // If the CUSUM falls, the contributions shrink in proportion; if it restarts from 0, so do they.
   const double kept = before > 0 ? std::clamp(channel.cusum / before, 0.0, 1.0) : 0;
   for (auto &[_, contribution] : channel.contributions) contribution *= kept;
   const bool isTracked = channel.contributions.size() < kMaxContributors ||
--- a/src/policy/job_lease.cpp
+++ b/src/policy/job_lease.cpp
@@ -58,10 +58,10 @@
   return {LeaseAction::acquire, 0, ""};
 }
 
-Nanoseconds acquisitionDelay(const std::string &id, std::uint32_t member, std::uint32_t members) {
-  const auto rank = [&](std::uint32_t m) { return XXH64(id.data(), id.size(), m + 1); };
+Nanoseconds acquisitionDelay(const std::string &id, std::uint32_t member, std::uint32_t memberCount) {
+  const auto scoreOf = [&](std::uint32_t m) { return XXH64(id.data(), id.size(), m + 1); };
   std::uint32_t membersBefore = 0;
-  for (std::uint32_t m = 0; m < members; ++m) membersBefore += rank(m) > rank(member);
+  for (std::uint32_t m = 0; m < memberCount; ++m) membersBefore += scoreOf(m) > scoreOf(member);
   return membersBefore * kAcquisitionDelayStep;
 }
 
--- a/src/policy/job_lease.h
+++ b/src/policy/job_lease.h
@@ -81,7 +81,7 @@
 LeaseDecision decideLease(const Job &job, Nanoseconds now, const LeaseSettings &settings);
 // Returns how long a member waits before it acquires a free lease. The order of the members differs from job
 // to job, so that they don't all propose at the same moment. The delay of the first member is 0.
-Nanoseconds acquisitionDelay(const std::string &id, std::uint32_t member, std::uint32_t members);
+Nanoseconds acquisitionDelay(const std::string &id, std::uint32_t member, std::uint32_t memberCount);
 // Whether the record may be erased, whatever its state; decideLease() returns LeaseAction::none from then on.
 bool isRetentionExpired(const Job &job, Nanoseconds now, const LeaseSettings &settings);
 // Whether `holder` may start the job or renew its lease: it holds the lease, and the lease lasts for longer
--- a/src/policy/latency_tracker.cpp
+++ b/src/policy/latency_tracker.cpp
@@ -25,6 +25,8 @@
   // Slow endpoints and slow builds hardly change the lower quartile.
   auto &quartile = endpoint.info.zone == deployment_.zone ? ownZoneLowerQuartile_ : otherZonesLowerQuartile_;
   const auto sample = static_cast<double>(duration);
+  // The estimate is at rest if a quarter of the samples are below it, so the step down is three times the
+  // step up.
   const double factor = sample < quartile ? 1 - 3 * kQuartileStep : 1 + kQuartileStep;
   quartile = quartile <= 0 ? sample : quartile * factor;
 }
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -8,7 +8,9 @@
 namespace {
 
 constexpr double kSlowRatio = 1.3; // an endpoint is slow above this multiple of the mean latency
-constexpr Nanoseconds kLatencyPenaltyHalfLife = 5 * kSecond; // since the endpoint's last latency sample
+// The penalty for a slow endpoint decays from its last latency sample on, so that the endpoint is tried
+// again.
+constexpr Nanoseconds kLatencyPenaltyHalfLife = 5 * kSecond;
 constexpr Nanoseconds kLoadReportLifetime = kSecond;
 constexpr double kFailureRateWeight = 10; // added to the load factor at a failure rate of 1
 constexpr double kCrossZoneWeight = 10;   // added to the load factor per point of the cross-zone cost
--- a/src/policy/loss_retention.cpp
+++ b/src/policy/loss_retention.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Record sets with fewer targets lose more than half of them in ordinary changes.
+// An ordinary change may remove more than half of the targets of a record set with fewer targets than this.
 constexpr std::size_t kMinTargetsForSuddenLoss = 4;
 
 // A zone reports "not available" (target ".") on purpose, so fewer answers are needed to confirm it.
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -73,6 +73,7 @@
       "endpoint ejected for %lld ms: %d consecutive failures, failure rate %.2f",
       static_cast<long long>(ejectionTime / kMillisecond), health.consecutiveFailures, health.failureRate));
   ++health.consecutiveEjections;
+  // The next failure then reaches the limit of consecutive failures again.
   health.consecutiveFailures = kConsecutiveFailuresToEject - 1;
   health.failureRate = kFailureRateToEject / 2;
 }
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -31,8 +31,8 @@
   // Whether the last four or more attempts at the endpoint all failed or were rejected. Timeouts and resets
   // are then attributed to the endpoint and not to its build.
   static bool failsPersistently(const Endpoint &endpoint);
-  // Whether many recent attempts could not reach their endpoint or lost it, so that the remaining endpoints
-  // carry its load.
+  // Whether many recent attempts could not connect to their endpoint or lost the connection, so that the
+  // remaining endpoints carry the load of the lost ones.
   bool isCapacityBeingLost(Nanoseconds now) const { return now < capacityLossUntil_; }
   // Restricts routing to endpoints that have answered an attempt sent at the time `since` or later, because
   // the endpoint list may contain endpoints that have departed since then. 0: the list is up to date.
@@ -49,7 +49,7 @@
 
   const EndpointSet &endpoints_;
   const LatencyTracker &latency_;
-  // Moving average: share of the attempts that could not reach their endpoint or lost it.
+  // Moving average: share of the attempts that could not connect to their endpoint or lost the connection.
   double connectionLossRate_ = 0;
   Nanoseconds capacityLossUntil_;
   Nanoseconds requiredSuccessSince_ = 0;
--- a/src/policy/outlier_gossip.h
+++ b/src/policy/outlier_gossip.h
@@ -51,7 +51,8 @@
   // A message from the peer with the index `from`. Messages from unknown senders and from this instance
   // itself are ignored.
   void onGossip(int from, const GossipMessage &message, Nanoseconds now, RandomEngine &random);
-  // Another process runs under the endpoint's name. Discards all observations and reports on the former one.
+  // Another process now runs under the endpoint's name. Discards the observations and reports of the former
+  // process.
   void onEndpointReplaced(EndpointFingerprint fingerprint);
 
   // Returns the messages to send now, which hold the observations since the previous messages. Returns none
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr double kMaxLatencyRatio = 1.5;   // upper limit of the ratio, and the ratio of a timed-out attempt
-constexpr double kMedianStep = 0.02;       // change of the median's estimate per outcome
-constexpr double kMaxMeanOverMedian = 2.5; // of the latency ratio; a greater mean is caused by few attempts
+constexpr double kMaxLatencyRatio = 1.5; // upper limit of the ratio, and the ratio of a timed-out attempt
+constexpr double kMedianStep = 0.02;     // change of the median's estimate per outcome
+// Upper limit of the mean latency ratio as a multiple of its median. A few attempts cause a greater mean.
+constexpr double kMaxMeanOverMedian = 2.5;
 constexpr double kRateAveragingSeconds = 0.5; // for attempts in flight and the completion rate
 constexpr double kObjectiveWeight = 0.1 / 4;  // weight of the newest request
 constexpr double kProportionalGain = 0.5;     // shed share per unit above or below the overload ratio
@@ -21,7 +22,8 @@
 constexpr double kMaxIntegralShedShare = 0.7;
 constexpr double kLowestPriorityExponent = 0.7; // on the shed share, at a relative priority weight of 0
 constexpr double kHighestPriorityExponent = 2;  // on the shed share, at a relative priority weight of 1
-constexpr double kClientRetryFactor = 0.5;   // on the exponent: the client's retry is probably late already
+// Factor on the exponent for a client's retry, which is probably late already and is therefore shed sooner.
+constexpr double kClientRetryFactor = 0.5;
 constexpr double kLoggedShedShare = 0.05;    // shedding is logged from this share on
 constexpr double kMaxQuotaExcessSeconds = 2; // a tenant may exceed its quota by the requests of this time
 
--- a/src/policy/overload_controller.h
+++ b/src/policy/overload_controller.h
@@ -4,7 +4,7 @@
 // By Little's law, the number of attempts in flight divided by the completion rate estimates the latency
 // before late attempts complete. A proportional-integral controller derives the share to shed from the ratio
 // of this estimate to the latency objective. The median latency of the outcomes caps the estimate, so that a
-// few lost attempts cause no shedding. Limitation: reacts late if traffic is low.
+// few lost attempts cause no shedding. Limitation: the controller reacts late if traffic is low.
 #pragma once
 
 #include "policy/deployment.h"
@@ -51,9 +51,11 @@
   const Deployment &deployment_;
   const EndpointSet &endpoints_;
   const OutlierDetector &outliers_;
-  int inFlight_ = 0;                // attempts of this instance
-  double completed_ = 0;            // attempts answered since updatedAt_
-  double meanInFlight_ = 0;         // moving average: attempts in flight at endpoints that are not suspect
+  int inFlight_ = 0;     // attempts of this instance
+  double completed_ = 0; // attempts answered since updatedAt_
+  // Moving average: attempts in flight at endpoints that are not suspect, or at suspect endpoints while no
+  // attempt is in flight at the others.
+  double meanInFlight_ = 0;
   double completionRate_ = 0;       // moving average: completed attempts per second
   double meanObjective_ = 0;        // moving average: latency objective of the requests, in seconds
   double latencyRatio_ = 0;         // estimated latency divided by the latency objective
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -9,9 +9,11 @@
 constexpr double kRetriesPerRequest = 0.2;
 constexpr double kSuspectTimeoutShare = 0.5; // timeout at a suspect endpoint, as a share of the objective
 constexpr double kMaxQueuedShare = 0.5;      // maximum wait for an endpoint, as a share of the objective
-constexpr int kLatestAttemptTicks = 2;       // before the deadline, so that the final answer is sent in time
-constexpr int kLatestRetryTicks = 4;         // before the deadline
-constexpr int kRetryAfterMeanLatencies = 2;  // retry-after delay as a multiple of the mean latency
+// The latest times to start an attempt and a retry, in ticks (Deployment::tickInterval) before the request's
+// deadline. The final answer is then sent in time.
+constexpr int kLatestAttemptTicks = 2;
+constexpr int kLatestRetryTicks = 4;
+constexpr int kRetryAfterMeanLatencies = 2; // retry-after delay as a multiple of the mean latency
 
 } // namespace
 
--- a/src/policy/rollout_roles.cpp
+++ b/src/policy/rollout_roles.cpp
@@ -5,8 +5,9 @@
 namespace myrtlehead {
 
 namespace {
-constexpr double kMinReportedChange = 0.3; // the limit for many fusion centers
-}
+// minReportedChange() approaches this value as the number of fusion centers grows.
+constexpr double kMinReportedChange = 0.3;
+} // namespace
 
 int fusionCenterCount(const Deployment &deployment) {
   if (!deployment.hasPeers) return deployment.instanceCount;
--- a/src/policy/rollout_roles.h
+++ b/src/policy/rollout_roles.h
@@ -1,5 +1,6 @@
-// The roles of the instances in a rollout: the first ones are fusion centers, and a few more may vote to
-// promote. Also the smallest change of the evidence that is worth a report to that many fusion centers.
+// The roles of the instances in a rollout, by index: the first instances are fusion centers, and a few more
+// may vote to promote. The number of fusion centers also determines the smallest change of the evidence that
+// is reported to them.
 #pragma once
 
 #include "policy/deployment.h"
@@ -14,11 +15,11 @@
 bool isFusionCenter(const Deployment &deployment);
 
 // The number of instances, from index 0 on, that may vote to promote: the votes needed plus half the number
-// of fusion centers. Half of the fusion centers in doubt thus stop a stage while the others vote by their own
-// evidence, and as many voters may be down.
+// of fusion centers. A stage is therefore not promoted if half of the fusion centers are in doubt and the
+// other half vote by their own evidence, and it can be promoted while that many voters are down.
 int promotionVoterCount(const Deployment &deployment);
 
-// The smallest change of a log-likelihood ratio that is reported; 0: any change is.
+// The smallest change of a log-likelihood ratio that is reported; 0: every change is reported.
 double minReportedChange(const Deployment &deployment);
 
 } // namespace myrtlehead
--- a/src/policy/rollout_tracker.h
+++ b/src/policy/rollout_tracker.h
@@ -32,8 +32,9 @@
   int stageOf(int build) const;
   // When the present stage or phase began.
   Nanoseconds stageStartedAt() const { return stageStartedAt_; }
-  // Whether the newest build is being evaluated. Only a build that has been a candidate during this
-  // incarnation is: one released before has no baseline to be compared with and is the baseline itself.
+  // Whether the newest build is being evaluated. A build is evaluated only if it has been a candidate during
+  // this incarnation. A build that was released earlier has no baseline to be compared with and is the
+  // baseline itself.
   bool isEvaluated() const { return isEvaluated_; }
   // Makes the newest build the baseline.
   void endEvaluation() { isEvaluated_ = false; }
--- a/src/policy/rollout_voter.cpp
+++ b/src/policy/rollout_voter.cpp
@@ -83,7 +83,8 @@
   return !doubt && isQuiet ? Verdict::promote : Verdict::abstain;
 }
 
-// The majority of the recent positions decides if this instance has no evidence of its own; only positions
+// A majority to roll back among two or more recent positions always decides. Otherwise the majority of the
+// recent positions decides unless this instance is a fusion center with evidence of its own. Only positions
 // that have arrived count, so that no verdict waits for fusion centers that are down. Without any position,
 // the instance's own verdict stands.
 Verdict RolloutVoter::verdict(Nanoseconds now) const {
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -173,8 +173,9 @@
 
 // The report is evidence about the build that the endpoint ran when it sent the answer, so it is ignored if
 // the endpoint has started since then.
-void RoutingPolicy::onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds sentAgo, Nanoseconds now) {
-  if (now - sentAgo >= endpoint.info.startedAt) test_.onWrongAnswer(endpoint.info.build, due_);
+void RoutingPolicy::onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds timeSinceSent,
+                                        Nanoseconds now) {
+  if (now - timeSinceSent >= endpoint.info.startedAt) test_.onWrongAnswer(endpoint.info.build, due_);
 }
 
 void RoutingPolicy::onFailureCounts(int build, int route, std::uint32_t failures, std::uint32_t total,
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -62,7 +62,9 @@
   void onRolloutState(const RolloutState &state, Nanoseconds now);
   void onVoteReply(VoteReply reply, Nanoseconds now);
   void onPeerMessage(int from, const std::uint8_t *bytes, std::size_t size, Nanoseconds now);
-  void onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds sentAgo, Nanoseconds now);
+  // A client has reported a wrong answer of the endpoint. `timeSinceSent`: the age of the answer.
+  void onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds timeSinceSent, Nanoseconds now);
+  // See SequentialTest::onFailureCounts().
   void onFailureCounts(int build, int route, std::uint32_t failures, std::uint32_t total, Nanoseconds now);
 
   // Notifications of a request.
--- a/src/policy/srv_record_set.cpp
+++ b/src/policy/srv_record_set.cpp
@@ -100,7 +100,7 @@
   state.wasInFirstAnswer = true;
 }
 
-void SrvRecordSet::restoreAge(Nanoseconds answeredAt, Nanoseconds validUntil) {
+void SrvRecordSet::restoreAnswerTimes(Nanoseconds answeredAt, Nanoseconds validUntil) {
   answeredAt_ = answeredAt;
   validUntil_ = validUntil;
 }
--- a/src/policy/srv_record_set.h
+++ b/src/policy/srv_record_set.h
@@ -38,9 +38,10 @@
   bool expireRetention(Nanoseconds now, const LossRetentionSettings &retention, Nanoseconds staleTime);
   // Forgets targets that were removed more than `memoryTime` ago, unless they may be used as a last resort.
   void forgetRemoved(Nanoseconds now, Nanoseconds memoryTime);
-  // Restore one target and the times of the latest answer from a snapshot.
+  // Restores one target from a snapshot. `removedAt`: 0 if the target is present.
   void restoreTarget(const Target &target, Nanoseconds removedAt);
-  void restoreAge(Nanoseconds answeredAt, Nanoseconds validUntil);
+  // Restores the times of the latest answer from a snapshot.
+  void restoreAnswerTimes(Nanoseconds answeredAt, Nanoseconds validUntil);
 
   const std::string &name() const { return name_; }
   int release() const { return release_; }
--- a/src/policy/stall_detector.h
+++ b/src/policy/stall_detector.h
@@ -1,5 +1,6 @@
-// Detects periods in which this instance itself did not run. During a stall no endpoint was unresponsive, and
-// the outcomes of attempts sent before its end are no evidence about an endpoint or a build.
+// Detects stalls, which are periods in which this instance itself did not run. A stall does not count towards
+// the time for which an endpoint has returned no outcome, and the outcomes of attempts that were sent before
+// the end of a stall are no evidence about an endpoint or a build.
 #pragma once
 
 #include "policy/due_actions.h"
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -72,8 +72,8 @@
 
 AttemptDecision Router::onAttemptFinished(RequestContext &context, Outcome outcome) {
   auto &request = context.request_;
-  const auto last = request.attempts.size() - 1;
-  const Nanoseconds duration = now() - request.attempts[last].sentAt;
+  const auto attemptIndex = request.attempts.size() - 1; // of the attempt in flight
+  const Nanoseconds duration = now() - request.attempts[attemptIndex].sentAt;
   const auto &deployment = policy_.deployment();
   const bool hasLatency = outcome == Outcome::succeeded || outcome == Outcome::timedOut;
   if (prioritySelector_.groupCount() > 1 && hasLatency) {
@@ -89,8 +89,8 @@
     endpoint.health.peerSuspicionUntil = gossip_.suspectUntil(endpoint.fingerprint);
   }
   const bool isAnswered = outcome == Outcome::succeeded || request.finished;
-  return toAttemptDecision(context,
-                           policy_.onAttemptFinished(request, last, outcome, duration, isAnswered, now()));
+  return toAttemptDecision(
+      context, policy_.onAttemptFinished(request, attemptIndex, outcome, duration, isAnswered, now()));
 }
 
 bool Router::isStillCurrent(const RequestContext &context) const {
@@ -176,8 +176,9 @@
   }
 }
 
-// Passes the state of the priority groups to the selector if there is more than one group.
-void Router::observePriorityGroups() {
+// Passes the state of the priority groups to the selector if there is more than one group now or was at the
+// last update.
+void Router::updatePriorityShares() {
   if (merge_ == nullptr) return;
   const auto groups = merge_->statistics().priorityGroups;
   if (prioritySelector_.groupCount() <= 1 && groups <= 1) return;
@@ -319,7 +320,7 @@
 sched::Task<> Router::run() {
   for (;;) {
     runDueTasks();
-    observePriorityGroups();
+    updatePriorityShares();
     isIdle_ = true;
     co_await sched_.sleep(policy_.deployment().tickInterval); // reports in the meantime are handled together
     const sched::Deadline nextRun{now() + policy_.dueTaskInterval(), nullptr};
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -69,8 +69,9 @@
   sched::Task<AttemptDecision> nextAttempt(RequestContext &context, sched::CancellationToken &cancellation);
   // Reports the outcome of the attempt in flight, and returns what to do with the request next.
   AttemptDecision onAttemptFinished(RequestContext &context, Outcome outcome);
-  // Whether the endpoint and the rollout are unchanged since the decision for the attempt in flight. If they
-  // have changed, the attempt must not be sent.
+  // Whether the decision for the attempt in flight still holds; otherwise the attempt must not be sent. The
+  // endpoint must be unchanged. The rollout must be unchanged as well, unless the attempt goes to a build
+  // older than the newest.
   bool isStillCurrent(const RequestContext &context) const;
   void onClientDisconnected(RequestContext &context);
   // Reports the load values that came with the attempt in flight, in the order of the deployment's fields.
@@ -114,7 +115,7 @@
   UpstreamEndpoint &reuseOrAddEndpoint();
   void applyUpdates(const std::vector<Entry> &entries, bool isComplete);
   void renameEndpointsByAddress(const std::vector<Entry> &entries);
-  void observePriorityGroups();
+  void updatePriorityShares();
   void applyGossip(const GossipMessage &message);
   void updateListFreshness();
   void runDueTasks();
