--- a/src/policy/rollout_voter.cpp
+++ b/src/policy/rollout_voter.cpp
@@ -166,10 +166,9 @@
   const bool isRepeat = repeatsLastVote(wanted);
   if (isRepeat && now < renewAt_) return;
   if (!isRepeat)
-    due.logLines.push_back(
-        formatLine("votes on build %d at stage %d: %s; CUSUM %.1f, threshold %.1f, %.0f outcomes",
-                   wanted.build, wanted.stage, nameOf(wanted.verdict), fusion_.highestCusum(),
-                   fusion_.threshold(), fusion_.stageOutcomes()));
+    due.logLines.push_back(formatLine(
+        "votes to %s build %d at stage %d: CUSUM %.1f, threshold %.1f, %.0f outcomes", nameOf(wanted.verdict),
+        wanted.build, wanted.stage, fusion_.highestCusum(), fusion_.threshold(), fusion_.stageOutcomes()));
   due.votes.push_back(wanted);
   lastVote_ = wanted;
   isReplyPending_ = true;
