--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -37,6 +37,7 @@
   return std::filesystem::path(MYRTLEHEAD_TEST_DATA) / name;
 }
 
+// Creates a folder that is removed at the end of the test.
 struct TemporaryFolder {
   TemporaryFolder() { std::filesystem::create_directories(path); }
   ~TemporaryFolder() { std::filesystem::remove_all(path); }
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -31,6 +31,7 @@
     sched.destroyAllTasks();
     REQUIRE(isDone);
   }
+  // Returns two sockets that are connected to each other.
   std::pair<std::unique_ptr<net::Socket>, std::unique_ptr<net::Socket>> socketPair() {
     int fds[2];
     REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) == 0);
@@ -72,7 +73,7 @@
   std::string address() const { return EventLoop::loopbackAddress(net::localAddress(*listener)); }
 
   // Reads the startup message and admits the connection, as most scripts do first. Returns false if the
-  // connection ends before that.
+  // connection fails.
   static sched::Task<bool> acceptStartup(net::Socket &s, net::Buffer &b) {
     pg::Startup startup;
     while (pg::parseStartup(b.view(), startup) != pg::Parsed::whole)
