--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -52,7 +52,8 @@
   // Notifications of the endpoint list.
   Endpoint &addEndpoint() { return endpoints_.add(); }
   void onEndpointUpdate(Endpoint &endpoint, const EndpointInfo &info, Nanoseconds now);
-  void onEndpointListComplete(bool isComplete) { endpoints_.onUpdatesApplied(isComplete); }
+  // See EndpointSet::onUpdatesApplied().
+  void onEndpointUpdatesApplied(bool isFullList) { endpoints_.onUpdatesApplied(isFullList); }
   // See OutlierDetector::requireSuccessSince().
   void requireSuccessSince(Nanoseconds since) { outliers_.requireSuccessSince(since); }
   void onLoadReport(Endpoint &endpoint, const std::vector<float> &values, Nanoseconds now);
@@ -61,7 +62,9 @@
   void onRolloutState(const RolloutState &state, Nanoseconds now);
   void onVoteReply(VoteReply reply, Nanoseconds now);
   void onPeerMessage(int from, const std::uint8_t *bytes, std::size_t size, Nanoseconds now);
-  void onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds sentAgo, Nanoseconds now);
+  // A client has reported a wrong answer of the endpoint. `timeSinceSent`: the age of the answer.
+  void onWrongAnswerReport(const Endpoint &endpoint, Nanoseconds timeSinceSent, Nanoseconds now);
+  // See SequentialTest::onFailureCounts().
   void onFailureCounts(int build, int route, std::uint32_t failures, std::uint32_t total, Nanoseconds now);
 
   // Notifications of a request.
