--- a/lab/bench_fleet.cpp
+++ b/lab/bench_fleet.cpp
@@ -39,7 +39,7 @@
              {"platform", fleet.platform()},
              {"known", json::parse(fleet.list(true, 0))}};
     for (int i = 1; i <= kNodes; ++i)
-      out["servers"].push_back(net::text(fleet.find("s-" + std::to_string(i))->address()));
+      out["servers"].push_back(net::formatAddress(fleet.find("s-" + std::to_string(i))->address()));
     const auto text = out.dump();
     if (write(fds[1], text.data(), text.size()) != static_cast<ssize_t>(text.size())) _exit(1);
     close(fds[1]);
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -83,7 +83,7 @@
   for (const auto &n : nodes_) {
     if (listsNothing || (whole ? n.status == "terminated" : n.version <= after)) continue;
     if (!std::exchange(first, false)) out += ',';
-    out += "{\"name\":\"" + n.name + "\",\"address\":\"" + net::text(n.runs->address()) +
+    out += "{\"name\":\"" + n.name + "\",\"address\":\"" + net::formatAddress(n.runs->address()) +
            "\",\"zone\":\"here\",\"type\":\"toy\",\"group\":0,\"status\":\"" + n.status +
            "\",\"weight\":1.0,\"since_ms\":" + std::to_string(n.since) +
            ",\"release\":" + std::to_string(n.build) + "}";
@@ -166,7 +166,7 @@
   const auto life = " " + std::to_string(ttl) + " IN ";
   for (const auto &n : nodes_) {
     if (n.status == "terminated" || (forget && n.status != "in_service")) continue;
-    const auto at = net::text(n.runs->address());
+    const auto at = net::formatAddress(n.runs->address());
     const auto colon = at.rfind(':');
     const auto host = n.name + ".maps.example.";
     out.push_back(service + "." + life + "SRV 0 1 " + at.substr(colon + 1) + " " + host);
--- a/lab/histories.cpp
+++ b/lab/histories.cpp
@@ -96,7 +96,7 @@
   const HistoryOptions &options;
   sched::Scheduler sched;
   std::ostringstream logLines;
-  log::Logs logs{logLines, log::Format::text, {log::Level::error, {}}};
+  log::LogOutput logs{logLines, log::Format::text, {log::Level::error, {}}};
   log::Log log = logs.forPackage("fleet");
   std::knuth_b random;
   cluster::Membership membership;
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -83,7 +83,7 @@
   };
 }
 
-std::string ScenarioRun::dnsServer() const { return dns_ ? net::text(dns_->address()) : ""; }
+std::string ScenarioRun::dnsServer() const { return dns_ ? net::formatAddress(dns_->address()) : ""; }
 
 sched::Task<> ScenarioRun::startInstance(std::size_t index) {
   const InstanceFiles files(options_.folder, index);
--- a/lab/starts.cpp
+++ b/lab/starts.cpp
@@ -70,7 +70,7 @@
   sched::Scheduler sched;
   net::DescriptorBudget budget(10'000);
   std::ostringstream lines;
-  log::Logs logs(lines, log::Format::text, {log::Level::error, {}});
+  log::LogOutput logs(lines, log::Format::text, {log::Level::error, {}});
   const auto begun = sched.now();
   Crowd with(sched, budget, true, logs.forPackage("names")),
       without(sched, budget, false, logs.forPackage("names"));
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -127,7 +127,7 @@
     sched_.spawn(dns_->discovery.run(hasKnownEndpoints(config_) ? dns_discovery::FirstLookups::spread
                                                                 : dns_discovery::FirstLookups::immediate));
   if (metricsServer_) {
-    log_.info("serving metrics", {{"at", net::text(metricsServer_->address())}});
+    log_.info("serving metrics", {{"at", net::formatAddress(metricsServer_->address())}});
     sched_.spawn(metricsServer_->accept());
   }
   if (clusterMember_) clusterMember_->start();
@@ -141,7 +141,7 @@
   spawnTasks();
   log_.info("marshal serves", {{"name", config_.name},
                                {"routes", config_.routeNames.size()},
-                               {"at", net::text(listener_->address())}});
+                               {"at", net::formatAddress(listener_->address())}});
   sched_.run();
   if (dns_) dns_->discovery.saveAtExit();
   sched_.destroyAllTasks(); // coroutines refer to the parts, so they end first
--- a/src/app/instance.h
+++ b/src/app/instance.h
@@ -49,7 +49,7 @@
   const settings::Settings &settings_;
 
   // In the order of construction: each part refers only to those above it.
-  log::Logs logs_;
+  log::LogOutput logs_;
   log::Log log_;
   log::Log guardLog_;
   log::Log catalogLog_;
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -53,8 +53,8 @@
   } catch (const std::exception &e) {
     log.error("the new settings are not applied", {{"why", e.what()}});
   }
-  log.info("configuration reloaded", {{"discovery", net::text(config->discoveryAddress)},
-                                      {"platform", net::text(config->platformAddress)}});
+  log.info("configuration reloaded", {{"discovery", net::formatAddress(config->discoveryAddress)},
+                                      {"platform", net::formatAddress(config->platformAddress)}});
 }
 
 } // namespace
--- a/src/app/reload.h
+++ b/src/app/reload.h
@@ -31,7 +31,7 @@
   discovery::EndpointWatch &endpointWatch;
   rollout::RolloutClient &rolloutClient;
   dns_discovery::DnsDiscovery *dnsDiscovery; // nullptr: no names are followed
-  log::Logs &logs;
+  log::LogOutput &logs;
 };
 
 // Applies each request for a reload, for as long as the instance lives. A file that can't be decoded changes
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -93,7 +93,7 @@
   for (const auto &name : names) settings.srvNames.push_back({name, -1, -1});
   sched::Scheduler sched;
   net::DescriptorBudget budget(kMaxDescriptors);
-  log::Logs logs(STDERR_FILENO, log::Format::text, std::move(levels));
+  log::LogOutput logs(STDERR_FILENO, log::Format::text, std::move(levels));
   prometheus::Registry registry;
   dns_discovery::DnsMetrics metrics(registry);
   endpoint_merge::EndpointMerge merge(settings.merge, settings.resolution.staleTime, 0,
--- a/src/base/log/log.cpp
+++ b/src/base/log/log.cpp
@@ -183,19 +183,19 @@
   sink_->logger.log(spdlogLevel(level), spdlog::string_view_t(out.data(), out.size()));
 }
 
-Logs::Logs(int fd, Format format, Levels levels) {
+LogOutput::LogOutput(int fd, Format format, Levels levels) {
   auto sink = std::make_shared<NonBlockingSink>(fd);
   sink_ = std::make_shared<Log::Sink>(sink, format);
   sink_->descriptorSink = sink;
   sink_->levels = std::move(levels);
 }
 
-Logs::Logs(std::ostream &out, Format format, Levels levels)
+LogOutput::LogOutput(std::ostream &out, Format format, Levels levels)
     : sink_(std::make_shared<Log::Sink>(std::make_shared<StreamSink>(out), format)) {
   sink_->levels = std::move(levels);
 }
 
-Log Logs::forPackage(std::string_view package) const {
+Log LogOutput::forPackage(std::string_view package) const {
   const auto level = sink_->levels.levelOf(package);
   Log out;
   out.sink_ = sink_;
@@ -204,12 +204,12 @@
   return out;
 }
 
-void Logs::setLevels(Levels levels) {
+void LogOutput::setLevels(Levels levels) {
   sink_->levels = std::move(levels);
   for (auto &[package, minimum] : sink_->minimums) minimum = sink_->levels.levelOf(package);
 }
 
-unsigned long Logs::droppedLines() const {
+unsigned long LogOutput::droppedLines() const {
   return sink_->descriptorSink != nullptr ? sink_->descriptorSink->droppedLines() : 0;
 }
 
--- a/src/base/log/log.h
+++ b/src/base/log/log.h
@@ -66,7 +66,7 @@
   }
 
 private:
-  friend class Logs;
+  friend class LogOutput;
   struct Sink;
   void writeIfEnabled(Level level, std::string_view message, Fields fields) const {
     if (isEnabled(level)) write(level, message, fields);
@@ -78,11 +78,11 @@
 };
 
 // Where the lines of all packages go.
-class Logs {
+class LogOutput {
 public:
   // The descriptor stays the caller's.
-  Logs(int fd, Format format, Levels levels);
-  Logs(std::ostream &out, Format format, Levels levels);
+  LogOutput(int fd, Format format, Levels levels);
+  LogOutput(std::ostream &out, Format format, Levels levels);
   Log forPackage(std::string_view package) const;
   // For all packages' logs, from now on.
   void setLevels(Levels levels);
--- a/src/base/net/result.h
+++ b/src/base/net/result.h
@@ -22,7 +22,7 @@
 enum class SendProgress { notConnected, partlyWritten, fullyWritten, responseStarted };
 
 // The words of the log.
-inline const char *word(ErrorCode code) {
+inline const char *errorName(ErrorCode code) {
   switch (code) {
   case ErrorCode::none:
     return "none";
--- a/src/base/net/socket.cpp
+++ b/src/base/net/socket.cpp
@@ -77,7 +77,7 @@
   return address;
 }
 
-std::string text(const Address &address) {
+std::string formatAddress(const Address &address) {
   char host[INET6_ADDRSTRLEN] = "";
   const auto port = std::string(":").append(std::to_string(address.port()));
   if (address.isV6()) {
@@ -172,7 +172,7 @@
   return send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
 }
 
-bool Socket::isQuiet() const {
+bool Socket::isOpenAndIdle() const {
   char byte;
   return recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
--- a/src/base/net/socket.h
+++ b/src/base/net/socket.h
@@ -31,7 +31,7 @@
 };
 // "10.1.0.18:6432" or "[fd00::12]:6432"; nullopt where it is neither.
 std::optional<Address> parseAddress(std::string_view text);
-std::string text(const Address &address);
+std::string formatAddress(const Address &address);
 
 // One non-blocking descriptor, registered with the scheduler and counted by the budget for as long as it
 // exists.
@@ -53,7 +53,7 @@
   // Whether all bytes could be written without waiting.
   bool tryWrite(std::string_view bytes);
   // Whether the other side has it open, and there is nothing to read.
-  bool isQuiet() const;
+  bool isOpenAndIdle() const;
   // Cancels `token` once the other side has closed its end; nullptr: no longer.
   void cancelOnHangUp(sched::CancellationToken *token);
   // The other side reads the end of the stream behind what has been written.
--- a/src/base/sched/scheduler.cpp
+++ b/src/base/sched/scheduler.cpp
@@ -35,12 +35,12 @@
 }
 
 void Event::notify() {
-  while (!waiters_.isAlone()) waiters_.next->wait->wake(WakeReason::notified);
+  while (!waiters_.isEmpty()) waiters_.next->wait->wake(WakeReason::notified);
 }
 
 void CancellationToken::cancel() {
   isCancelled_ = true;
-  while (!waiters_.isAlone()) waiters_.next->wait->wake(WakeReason::cancelled);
+  while (!waiters_.isEmpty()) waiters_.next->wait->wake(WakeReason::cancelled);
 }
 
 void Wait::await_suspend(std::coroutine_handle<> coroutine) {
@@ -145,13 +145,13 @@
 }
 
 void Scheduler::advanceSimulatedClock() {
-  if (ready_.isAlone() && !timers_.empty()) now_ = std::max(now_, timers_.begin()->first);
-  isHalted_ = isHalted_ || (ready_.isAlone() && timers_.empty());
+  if (ready_.isEmpty() && !timers_.empty()) now_ = std::max(now_, timers_.begin()->first);
+  isHalted_ = isHalted_ || (ready_.isEmpty() && timers_.empty());
 }
 
 int Scheduler::epollTimeoutMs() const {
   constexpr int kNoTimeout = -1;
-  if (!ready_.isAlone()) return 0;
+  if (!ready_.isEmpty()) return 0;
   if (timers_.empty()) return kNoTimeout;
   const auto left = std::clamp<Nanoseconds>(timers_.begin()->first - now_, 0, kMaxPollTime);
   // Rounded up, so that the timer is due when epoll_wait returns.
@@ -166,14 +166,14 @@
 // One round: what becomes ready meanwhile waits for the next, behind the descriptors.
 void Scheduler::resumeReady() {
   WaitListNode round;
-  while (!ready_.isAlone()) ready_.next->appendTo(round);
-  while (!round.isAlone() && !isHalted_) {
+  while (!ready_.isEmpty()) ready_.next->appendTo(round);
+  while (!round.isEmpty() && !isHalted_) {
     Wait *wait = round.next->wait;
     wait->readyNode_.unlink();
     readClock();
     wait->coroutine_.resume();
   }
-  while (!round.isAlone()) round.next->appendTo(ready_);
+  while (!round.isEmpty()) round.next->appendTo(ready_);
 }
 
 } // namespace myrtlehead::sched
--- a/src/base/sched/scheduler.h
+++ b/src/base/sched/scheduler.h
@@ -31,7 +31,7 @@
   WaitListNode &operator=(const WaitListNode &) = delete;
   ~WaitListNode() { unlink(); }
   // Whether it is linked to no other node: of the list itself, whether that is empty.
-  bool isAlone() const { return next == this; }
+  bool isEmpty() const { return next == this; }
   void unlink();
   // Moves it to the end of `list`.
   void appendTo(WaitListNode &list);
--- a/src/base/storage/atomic_file.cpp
+++ b/src/base/storage/atomic_file.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-std::string SaveError::text() const {
+std::string SaveError::message() const {
   constexpr const char *kSteps[] = {"open", "write", "replace", "sync the folder of"};
   return std::string("can't ") + kSteps[static_cast<int>(step)] + " " + path + ": " +
          std::strerror(errorNumber);
@@ -82,7 +82,7 @@
   const auto formatEnd = header.find(',', expected.size());
   const auto format = header.substr(expected.size(), formatEnd - expected.size());
   if (format != std::to_string(identity.format))
-    return {LoadStatus::otherFormat, "",
+    return {LoadStatus::unsupportedFormat, "",
             fmt::format("it has format {}, and this program reads {}", format, identity.format)};
   const auto payload = bytes.substr(headerEnd + 1);
   if (bytes.substr(0, headerEnd + 1) != headerFor(identity, payload))
--- a/src/base/storage/atomic_file.h
+++ b/src/base/storage/atomic_file.h
@@ -22,7 +22,7 @@
   loaded,
   missing,
   foreign, // no file of this program, of other content, or another instance's
-  otherFormat,
+  unsupportedFormat,
   corrupted, // truncated or changed: length or checksum differ
 };
 
@@ -45,7 +45,7 @@
   Step step;
   std::string path;
   int errorNumber = 0; // errno
-  std::string text() const;
+  std::string message() const;
 };
 
 // Replaces the file atomically. nullopt: it is on disk.
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -28,7 +28,7 @@
   log_.info("cluster member started", {{"name", membership_.members[membership_.ownIndex].name},
                                        {"members", membership_.members.size()},
                                        {"registers", store_.all().size()},
-                                       {"at", net::text(server_.address())}});
+                                       {"at", net::formatAddress(server_.address())}});
 }
 
 } // namespace myrtlehead::cluster
--- a/src/cluster/job_server.cpp
+++ b/src/cluster/job_server.cpp
@@ -68,7 +68,7 @@
     const auto &member = membership_.members[i];
     const auto answeredAt = registers_.lastAnsweredAt()[i];
     nlohmann::json out{
-        {"name", member.name}, {"at", net::text(member.address)}, {"answered_ms_ago", nullptr}};
+        {"name", member.name}, {"at", net::formatAddress(member.address)}, {"answered_ms_ago", nullptr}};
     if (answeredAt != 0) out["answered_ms_ago"] = (sched_.now() - answeredAt) / kMillisecond;
     members.push_back(std::move(out));
   }
--- a/src/cluster/member_client.cpp
+++ b/src/cluster/member_client.cpp
@@ -29,7 +29,7 @@
                                    const Membership &membership) {
   for (const auto &member : membership.members)
     peers_.push_back({std::make_unique<http_client::PersistentConnection>(sched, budget, member.address),
-                      net::text(member.address)});
+                      net::formatAddress(member.address)});
 }
 
 net::Task<net::Result<HttpResponse>> HttpMemberClient::call(std::uint32_t member, ConsensusPhase phase,
--- a/src/control/discovery/endpoint_watch.cpp
+++ b/src/control/discovery/endpoint_watch.cpp
@@ -84,7 +84,8 @@
   }
   calls_.erase(number);
   if (superseded->isCancelled()) co_return;
-  log_.info("watch on discovery ended", {{"cause", net::word(cause)}, {"status", exchange.head().status}});
+  log_.info("watch on discovery ended",
+            {{"cause", net::errorName(cause)}, {"status", exchange.head().status}});
   router_.onListCallEnded(classifyEnd(poll, cause, call->hasReceivedMessage), otherCalls(), calls_.empty());
 }
 
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -312,7 +312,7 @@
 void DnsDiscovery::saveIfDue() {
   if (stateWriter_ == nullptr) return;
   if (const auto error = stateWriter_->takeLastError())
-    log_.warning("the DNS state could not be saved", {{"why", error->text()}});
+    log_.warning("the DNS state could not be saved", {{"why", error->message()}});
   // The next start needs a complete state: a state without endpoints never replaces a saved state, and while
   // look-ups are in flight the state is saved less often.
   const Nanoseconds interval = schedule_.inFlight() == 0 ? kSaveInterval : kSaveIntervalInFlight;
@@ -327,7 +327,7 @@
   stateWriter_ = nullptr; // first completes the save that was submitted last
   if (merge_.statistics().endpoints == 0) return;
   const auto error = storage::save(statePath_, encodedState());
-  if (error) log_.warning("the DNS state could not be saved", {{"why", error->text()}});
+  if (error) log_.warning("the DNS state could not be saved", {{"why", error->message()}});
 }
 
 bool DnsDiscovery::openStateFile(const std::string &path, storage::FileIdentity identity,
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -42,7 +42,7 @@
   }
   const auto &failure = response.failure();
   log_.debug("call to the platform failed",
-             {{"cause", net::word(failure.cause)}, {"progress", static_cast<int>(failure.progress)}});
+             {{"cause", net::errorName(failure.cause)}, {"progress", static_cast<int>(failure.progress)}});
   const auto reply = mayHaveExecuted(failure.progress) ? VoteReply::timedOut : VoteReply::error;
   co_return VoteAnswer{reply, {}};
 }
@@ -91,7 +91,7 @@
   openStreams_.erase(number);
   const bool isLatest = number == latestStream_;
   if (!isLatest) co_return;
-  log_.info("rollout event stream ended", {{"cause", net::word(cause)}});
+  log_.info("rollout event stream ended", {{"cause", net::errorName(cause)}});
   co_await sched_.sleep(kReopenBackoff);
   if (number == latestStream_) streamRequested_.notify();
 }
