--- a/src/base/http_client/exchange.cpp
+++ b/src/base/http_client/exchange.cpp
@@ -7,7 +7,8 @@
 using net::SendProgress;
 
 namespace {
-// Bounds the memory of a response whose caller waits for the end of a line or an event that never comes.
+// Limits the memory of a response in which the end of a line or event, for which the caller waits, never
+// comes.
 constexpr std::size_t kMaxUnconsumedBodyBytes = 4 * 1024 * 1024;
 } // namespace
 
@@ -41,7 +42,7 @@
   }
 }
 
-// ErrorCode::closedByPeer: the body is complete.
+// Decodes the bytes received so far. Returns ErrorCode::closedByPeer if the body is complete.
 ErrorCode Exchange::decodeBody() {
   std::size_t used = 0;
   const auto parsed = bodyDecoder_.take(buffer_.view(), body, used);
--- a/src/base/http_client/exchange.h
+++ b/src/base/http_client/exchange.h
@@ -1,5 +1,5 @@
-// One HTTP request on a connection of its own. The request is sent once and never retried; the response body
-// is handed out as it arrives, so that it suits event streams and watches.
+// An HTTP exchange on a dedicated connection. The request is sent once and never retried. The response body
+// is available as it arrives, which suits event streams and watches.
 #pragma once
 
 #include "base/net/socket.h"
@@ -11,15 +11,16 @@
 public:
   Exchange(net::Scheduler &sched, net::DescriptorBudget &budget) : sched_(sched), budget_(budget) {}
 
-  // Connects, sends `request` and returns once the head of the response has arrived. On success the cause is
-  // ErrorCode::none; otherwise the progress says how far the exchange had come.
+  // Connects, sends `request` and waits for the head of the response. On success the cause is
+  // ErrorCode::none; otherwise the progress tells how much of the exchange had taken place.
   net::Task<net::Failure> sendRequest(net::Address to, std::string request, net::Deadline until);
-  // Appends at least one byte to `body`. ErrorCode::closedByPeer: the body is complete.
+  // Waits until at least one byte has been appended to `body`. Returns ErrorCode::closedByPeer if the body is
+  // complete.
   net::Task<net::ErrorCode> readMore(net::Deadline until);
 
   const http::Head &head() const { return head_; }
 
-  // The part of the body that has arrived and was not yet consumed. The caller removes what it consumes.
+  // The part of the body that has arrived and is not yet consumed. The caller removes the bytes it consumes.
   std::string body;
 
 private:
--- a/src/base/http_client/persistent_connection.cpp
+++ b/src/base/http_client/persistent_connection.cpp
@@ -7,15 +7,16 @@
 using net::SendProgress;
 
 namespace {
-constexpr net::Nanoseconds kReconnectBackoff = 250'000'000; // 250 ms
-constexpr net::Nanoseconds kConnectTimeout = 4 * kReconnectBackoff;
-// The fraction of a call's remaining time that is spent on a new connection while the old one could still
-// carry the call: one in so many.
+constexpr net::Nanoseconds kReconnectBackoff = 250'000'000;         // 250 ms
+constexpr net::Nanoseconds kConnectTimeout = 4 * kReconnectBackoff; // 1 s
+// The remaining time of a call is divided by this number to obtain the time spent on opening a new connection
+// while the old one could still carry the call.
 constexpr int kReconnectTimeDivisor = 4;
 constexpr std::size_t kMaxResponseBytes = 64 * 1024;
 } // namespace
 
-// Guards the calls in flight when the connection is replaced: their responses may still arrive.
+// Takes the connection out of use for new calls. It stays open while calls are in flight, as their responses
+// may still arrive, unless a call on it has timed out.
 void PersistentConnection::retire() {
   if (connection_ == nullptr) return;
   connection_->isReplaced = true;
@@ -37,7 +38,7 @@
   closed_.notify();
 }
 
-// On success the new connection replaces the present one.
+// Opens a new connection. On success it replaces the current one.
 net::Task<ErrorCode> PersistentConnection::open(net::Deadline until) {
   const auto addressChanged = addressChanged_;
   until.cancellation = addressChanged.get();
@@ -63,15 +64,16 @@
   }
 }
 
-// Returns ErrorCode::none where a connection stands, new or old.
+// Returns ErrorCode::none if a connection, new or old, is open.
 //
-// Guards against a connection whose other end has vanished: after a call that was not answered a new one is
-// tried first. Where it does not come up soon, the old one may still carry the call.
+// After a call has timed out, the peer of the open connection may have vanished, so a new connection is tried
+// first. If it is not established in a fraction of the remaining time, the call uses the old connection.
 net::Task<ErrorCode> PersistentConnection::openForCall(net::Deadline until) {
-  net::Deadline firstUntil = until;
-  if (isOpen()) firstUntil.at = sched_.now() + (until.at - sched_.now()) / kReconnectTimeDivisor;
-  auto opened = co_await open(firstUntil);
-  while (opened == ErrorCode::cancelled && !isOpen()) opened = co_await open(until); // at the new address
+  net::Deadline firstDeadline = until;
+  if (isOpen()) firstDeadline.at = sched_.now() + (until.at - sched_.now()) / kReconnectTimeDivisor;
+  auto opened = co_await open(firstDeadline);
+  // An attempt is cancelled if the address has changed; the next one goes to the new address.
+  while (opened == ErrorCode::cancelled && !isOpen()) opened = co_await open(until);
   if (isOpen()) co_return ErrorCode::none;
   co_return opened == ErrorCode::none ? ErrorCode::connectionLost : opened;
 }
@@ -86,7 +88,7 @@
   connection->pending.push_back(pending);
   const auto written = co_await connection->socket->write(request, until);
   if (written != ErrorCode::none) {
-    // The server waits for the rest of this request, so no later one can be understood.
+    // The server waits for the rest of this request and would take a later request for it.
     connection->hasEnded = true;
     connection->socket->shutdown();
     closed_.notify();
--- a/src/base/http_client/persistent_connection.h
+++ b/src/base/http_client/persistent_connection.h
@@ -1,5 +1,5 @@
-// A persistent HTTP connection for calls that want one response each. Requests are pipelined and responses
-// arrive in the order of the requests, so a late response is matched to its own call. No call is retried.
+// A persistent HTTP connection for calls with one response each. Requests are pipelined and responses arrive
+// in the order of the requests, so a late response is matched to its own call. No call is retried.
 #pragma once
 
 #include "base/net/socket.h"
@@ -19,15 +19,17 @@
   PersistentConnection(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address to)
       : sched_(sched), budget_(budget), to_(to) {}
 
-  // Sends one request and waits for its response. On failure the progress says how far the call had come:
-  // only from SendProgress::fullyWritten on may the server have executed it.
+  // Sends one request and waits for its response. On failure the progress tells how much of the exchange had
+  // taken place: the server may have executed the request only from SendProgress::fullyWritten on.
   net::Task<net::Result<Response>> call(std::string request, net::Deadline until);
-  // Reopens the connection whenever it has closed; runs for as long as the instance. A connection that was
-  // open before the server stopped accepting still carries calls that a new one could not.
+  // Reopens the connection whenever it is closed, and never ends. A connection that was opened before the
+  // server stopped accepting still carries calls for which no new connection could be opened.
   net::Task<> keepOpen();
-  // Later calls go to the new address; calls in flight are still answered by the old one.
+  // Changes the address of the server for later calls. Calls in flight still get their responses from the old
+  // address.
   void moveTo(net::Address to);
-  // Stops using the present connection, after a response that can't be interpreted.
+  // Stops using the current connection for new calls. Called after a response that cannot be interpreted, as
+  // further bytes could be taken for the response to a later call.
   void discard();
 
 private:
@@ -35,15 +37,15 @@
   struct PendingCall {
     sched::Event finishedEvent;
     bool isFinished = false;
-    net::Failure failure; // cause none: `response` is valid
+    net::Failure failure; // `response` is valid if the cause is ErrorCode::none
     Response response;
   };
   struct Connection {
     std::unique_ptr<net::Socket> socket;
     std::deque<std::shared_ptr<PendingCall>> pending; // in the order of the requests
-    bool hasEnded = false;                            // no response can arrive on it any more
-    bool hasTimedOutCall = false;                     // the latest call to end on it was not answered in time
-    bool isReplaced = false;                          // takes no further call; closes after its last response
+    bool hasEnded = false;                            // no further response can arrive on the connection
+    bool hasTimedOutCall = false; // a call timed out, and no response has arrived since then
+    bool isReplaced = false;      // no further call uses the connection; it closes after its last response
   };
   net::Task<net::ErrorCode> open(net::Deadline until);
   net::Task<net::ErrorCode> openForCall(net::Deadline until);
@@ -59,7 +61,7 @@
   net::Address to_;
   std::shared_ptr<Connection> connection_;
   sched::Event closed_;
-  // Cancels an attempt to connect to an address that is no longer the server's.
+  // Cancels an attempt to connect to an address that is no longer that of the server.
   std::shared_ptr<sched::CancellationToken> addressChanged_ = std::make_shared<sched::CancellationToken>();
 };
 
--- a/src/base/log/log.cpp
+++ b/src/base/log/log.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 2000; // a pipe that polls writable takes this much at once
+// A pipe that poll() reports as writable accepts at least this many bytes in one write.
+constexpr std::size_t kMaxLineBytes = 2000;
 
 spdlog::level::level_enum spdlogLevel(Level level) {
   switch (level) {
@@ -37,38 +38,39 @@
   return kNames[static_cast<int>(level)];
 }
 
+// Returns the text as a JSON string. Invalid UTF-8 is replaced.
 std::string quoted(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Whether a text reads the same without quotes: then it is written without them.
+// Returns true if the text is unambiguous without quotes in the text format.
 bool needsNoQuotes(std::string_view text) {
   return !text.empty() && text.find_first_of(" \"=\\") == std::string_view::npos &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 0x20 && c < 0x7f; });
 }
 
-void addValue(fmt::memory_buffer &out, const Field &field, bool json) {
+void appendValue(fmt::memory_buffer &out, const Field &field, Format format) {
   auto to = fmt::appender(out);
   switch (field.kind) {
   case Field::integer:
-    fmt::format_to(to, "{}", field.whole);
+    fmt::format_to(to, "{}", field.integerValue);
     break;
   case Field::real:
-    fmt::format_to(to, "{:.6g}", field.fraction);
+    fmt::format_to(to, "{:.6g}", field.realValue);
     break;
   case Field::boolean:
-    fmt::format_to(to, "{}", field.whole != 0);
+    fmt::format_to(to, "{}", field.integerValue != 0);
     break;
   case Field::text:
-    if (!json && needsNoQuotes(field.string))
-      out.append(field.string);
+    if (format == Format::text && needsNoQuotes(field.textValue))
+      out.append(field.textValue);
     else
-      out.append(quoted(field.string));
+      out.append(quoted(field.textValue));
   }
 }
 
-// Writes complete lines to a descriptor, and drops (and counts) them where the reader is behind: the process
-// must never be blocked by it.
+// Writes complete lines to a descriptor without ever blocking the process. A line is dropped and counted if
+// the descriptor cannot take it at once, because the reader is too slow.
 class NonBlockingSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
   explicit NonBlockingSink(int fd) : fd_(fd) {}
@@ -77,7 +79,8 @@
 protected:
   void sink_it_(const spdlog::details::log_msg &msg) override {
     if (unreportedDropped_ > 0) {
-      const auto notice = fmt::format("{} log lines dropped, the reader is behind\n", unreportedDropped_);
+      const auto notice = fmt::format("{} log lines dropped because the reader is too slow\n",
+                                      unreportedDropped_);
       if (send(notice)) unreportedDropped_ = 0;
     }
     if (unreportedDropped_ > 0 || !send({msg.payload.data(), msg.payload.size()})) {
@@ -94,7 +97,7 @@
     return ::write(fd_, line.data(), line.size()) == static_cast<ssize_t>(line.size());
   }
   int fd_;
-  unsigned long unreportedDropped_ = 0; // since the reader was last told
+  unsigned long unreportedDropped_ = 0; // lines dropped since the last notice to the reader
   unsigned long totalDropped_ = 0;
 };
 
@@ -116,20 +119,21 @@
 
 struct Log::Sink {
   Sink(std::shared_ptr<spdlog::sinks::sink> to, Format f) : logger("myrtlehead", std::move(to)), format(f) {
-    logger.set_level(spdlog::level::trace); // the packages' own levels decide
+    logger.set_level(spdlog::level::trace); // lines are filtered by the levels of the packages instead
   }
   spdlog::logger logger;
   Format format;
-  std::shared_ptr<NonBlockingSink> descriptorSink; // none where the lines go to a stream
+  std::shared_ptr<NonBlockingSink> descriptorSink; // null if the lines go to a stream
   Levels levels;
-  std::map<std::string, Level, std::less<>> minimums; // by package; logs refer to them
+  // The minimum level by package. Each Log refers to its element, so elements are never removed.
+  std::map<std::string, Level, std::less<>> minimumLevels;
 };
 
-std::optional<Level> parseLevel(std::string_view word) {
-  if (word == "debug") return Level::debug;
-  if (word == "info") return Level::info;
-  if (word == "warning") return Level::warning;
-  if (word == "error") return Level::error;
+std::optional<Level> parseLevel(std::string_view name) {
+  if (name == "debug") return Level::debug;
+  if (name == "info") return Level::info;
+  if (name == "warning") return Level::warning;
+  if (name == "error") return Level::error;
   return std::nullopt;
 }
 
@@ -157,25 +161,25 @@
 }
 
 void Log::write(Level level, std::string_view message, Fields fields) const {
-  const bool json = sink_->format == Format::json;
+  const bool isJson = sink_->format == Format::json;
   const auto now = std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
   const auto ms = now.time_since_epoch().count() % 1000;
   const auto second = fmt::gmtime(std::chrono::system_clock::to_time_t(now));
   fmt::memory_buffer out;
   auto to = fmt::appender(out);
-  if (json)
+  if (isJson)
     fmt::format_to(to, R"({{"time":"{:%FT%T}.{:03}Z","level":"{}","package":"{}","message":{})", second, ms,
                    levelName(level), package_, quoted(message));
   else
     fmt::format_to(to, "{:%FT%T}.{:03}Z {} {}: {}", second, ms, levelName(level), package_, message);
   for (const auto &field : fields) {
-    fmt::format_to(to, fmt::runtime(json ? ",\"{}\":" : " {}="), field.name);
-    addValue(out, field, json);
+    fmt::format_to(to, fmt::runtime(isJson ? ",\"{}\":" : " {}="), field.name);
+    appendValue(out, field, sink_->format);
   }
-  if (json) out.push_back('}');
+  if (isJson) out.push_back('}');
   if (out.size() >= kMaxLineBytes) {
-    out.resize(kMaxLineBytes - 5);
-    out.append(json ? std::string_view("\"}") : std::string_view("..."));
+    out.resize(kMaxLineBytes - 5); // leaves space for the ending and the newline
+    out.append(isJson ? std::string_view("\"}") : std::string_view("..."));
   }
   for (auto &c : out)
     if (static_cast<unsigned char>(c) < 0x20) c = '?';
@@ -200,13 +204,13 @@
   Log out;
   out.sink_ = sink_;
   out.package_ = package;
-  out.minimum_ = &sink_->minimums.insert_or_assign(std::string(package), level).first->second;
+  out.minimumLevel_ = &sink_->minimumLevels.insert_or_assign(std::string(package), level).first->second;
   return out;
 }
 
 void LogOutput::setLevels(Levels levels) {
   sink_->levels = std::move(levels);
-  for (auto &[package, minimum] : sink_->minimums) minimum = sink_->levels.levelOf(package);
+  for (auto &[package, minimum] : sink_->minimumLevels) minimum = sink_->levels.levelOf(package);
 }
 
 unsigned long LogOutput::droppedLines() const {
--- a/src/base/net/buffer.h
+++ b/src/base/net/buffer.h
@@ -1,5 +1,5 @@
-// The one buffer of a connection: filled at its end, parsed at its front, compacted in place, grown as
-// needed.
+// The receive buffer of a connection. Bytes are appended at the end and consumed at the front. The buffer
+// compacts its content in place and grows if the free space does not suffice.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 class Buffer {
 public:
-  // The bytes it contains; valid until it is changed.
+  // The content. The view is valid until the buffer changes.
   std::string_view view() const { return {bytes_.data() + begin_, end_ - begin_}; }
   bool empty() const { return begin_ == end_; }
 
@@ -24,21 +24,23 @@
     end_ = 0;
   }
 
-  // Free space of at least `least` bytes behind the content; commit() makes part of it content.
-  std::span<char> prepare(std::size_t least) {
-    if (bytes_.size() - end_ < least && begin_ > 0) {
+  // Returns free space of at least `minBytes` bytes after the content. The caller writes to the space and
+  // then calls commit() with the number of bytes written.
+  std::span<char> prepare(std::size_t minBytes) {
+    if (bytes_.size() - end_ < minBytes && begin_ > 0) {
       std::memmove(bytes_.data(), bytes_.data() + begin_, end_ - begin_);
       end_ -= begin_;
       begin_ = 0;
     }
-    if (bytes_.size() - end_ < least) bytes_.resize(std::max(end_ + least, 2 * bytes_.size()));
+    if (bytes_.size() - end_ < minBytes) bytes_.resize(std::max(end_ + minBytes, 2 * bytes_.size()));
     return {bytes_.data() + end_, bytes_.size() - end_};
   }
+  // Appends the first `count` bytes of the prepared space to the content.
   void commit(std::size_t count) { end_ += count; }
 
-  // Frees the memory of an empty buffer that has grown beyond `limit` bytes for a large message.
-  void shrink(std::size_t limit) {
-    if (empty() && bytes_.size() > limit) std::vector<char>().swap(bytes_);
+  // Frees the memory if the buffer is empty and its capacity exceeds `maxBytes`, as after a large message.
+  void shrink(std::size_t maxBytes) {
+    if (empty() && bytes_.size() > maxBytes) std::vector<char>().swap(bytes_);
   }
 
 private:
--- a/src/base/net/descriptor_budget.h
+++ b/src/base/net/descriptor_budget.h
@@ -1,5 +1,6 @@
-// The budget of open descriptors. Clients may not use the last of them: endpoints and control connections go
-// first. Each Socket acquires one for as long as it exists.
+// The budget of open file descriptors. Each Socket holds one descriptor of the budget during its lifetime.
+// The budget itself refuses nothing: code that accepts clients checks available() and leaves the last
+// descriptors to connections to endpoints and to the control plane, which have precedence.
 #pragma once
 
 #include "base/sched/scheduler.h"
@@ -9,7 +10,7 @@
 class DescriptorBudget {
 public:
   explicit DescriptorBudget(int limit) : limit_(limit) {}
-  // May be negative: acquire() does not ask.
+  // Negative if more than limit() descriptors are in use, as acquire() does not enforce the limit.
   int available() const { return limit_ - used_; }
   int limit() const { return limit_; }
   void acquire() { ++used_; }
@@ -17,7 +18,7 @@
     --used_;
     released.notify();
   }
-  sched::Event released;
+  sched::Event released; // notified after each release()
 
 private:
   int limit_;
--- a/src/base/net/memory_budget.h
+++ b/src/base/net/memory_budget.h
@@ -1,5 +1,5 @@
-// Memory for large messages: each reserves its size before it is read on, so that many at once can't use up
-// the process's memory.
+// A budget of memory for large messages. A large message reserves its size before the rest of it is read, so
+// that many concurrent messages cannot exhaust the memory of the process.
 #pragma once
 
 #include "base/sched/scheduler.h"
@@ -21,10 +21,11 @@
   sched::Event released_;
 };
 
-// What one message has reserved of a budget; released when it is destroyed.
+// The bytes that one message has reserved in a budget. The destructor releases them.
 class MemoryReservation {
 public:
-  // unavailable: not before the deadline, or more than the budget's capacity.
+  // `unavailable` means that the bytes did not become available before the deadline or a cancellation, or
+  // that the request exceeds the capacity of the budget.
   enum class Result { acquired, unavailable };
 
   MemoryReservation() = default;
@@ -37,7 +38,7 @@
   }
   ~MemoryReservation() { release(); }
 
-  // Waits until `bytes` are available, and reserves them in `out`.
+  // Waits until `bytes` bytes are available and stores their reservation in `out`.
   static sched::Task<Result> acquire(sched::Scheduler &scheduler, MemoryBudget &budget, std::size_t bytes,
                                      sched::Deadline deadline, MemoryReservation &out) {
     if (bytes > budget.capacity_) co_return Result::unavailable;
--- a/src/base/net/result.h
+++ b/src/base/net/result.h
@@ -1,4 +1,4 @@
-// Errors as values: why an operation ended early, and for an attempt how far it had come.
+// Error values: the cause of a failure and, for an attempt, how much of the exchange had taken place.
 #pragma once
 
 #include <utility>
@@ -10,18 +10,18 @@
   none,
   timedOut,
   cancelled,
-  closedByPeer,
-  connectionLost,
+  closedByPeer,   // the peer ended the stream in order
+  connectionLost, // the connection failed or ended too early
   refused,
   tooLarge,
-  unreadable,
+  unreadable, // the received bytes violate the protocol
   noDescriptorLeft
 };
 
-// How far an attempt had come when it failed.
+// How much of the exchange had taken place when an attempt ended.
 enum class SendProgress { notConnected, partlyWritten, fullyWritten, responseStarted };
 
-// The words of the log.
+// The name of an error code as log lines show it.
 inline const char *errorName(ErrorCode code) {
   switch (code) {
   case ErrorCode::none:
@@ -51,8 +51,8 @@
   SendProgress progress = SendProgress::notConnected;
 };
 
-// A value, or why there is none. failure() may be asked only where it is false, the value only where it is
-// true.
+// Holds either a value or a failure. The conversion to bool tells whether it holds a value. The value may be
+// accessed only if it does, failure() only if it does not.
 template <class T> class [[nodiscard]] Result {
 public:
   Result(T value) : content_(std::move(value)) {}
--- a/src/base/net/socket.cpp
+++ b/src/base/net/socket.cpp
@@ -14,16 +14,16 @@
 
 namespace {
 
-constexpr std::size_t kReadSize = 4096;
+constexpr std::size_t kMinReadBytes = 4096; // free space of the buffer before each read
 
-// The meaning of an errno of a connection.
-ErrorCode errorOf(int error) {
+// Maps an errno value of a connection attempt.
+ErrorCode errorFromErrno(int error) {
   return error == ECONNREFUSED ? ErrorCode::refused : ErrorCode::connectionLost;
 }
 
-// Why a wait for a descriptor ended without its event.
-ErrorCode errorOf(sched::WakeReason woken) {
-  return woken == sched::WakeReason::cancelled ? ErrorCode::cancelled : ErrorCode::timedOut;
+// Maps the reason why a wait for a descriptor ended without an event of the descriptor.
+ErrorCode errorFromWakeReason(sched::WakeReason reason) {
+  return reason == sched::WakeReason::cancelled ? ErrorCode::cancelled : ErrorCode::timedOut;
 }
 
 void disableNagle(int fd) {
@@ -31,19 +31,20 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-[[noreturn]] void closeAndThrow(int fd, const char *what) {
+// Closes `fd` if it is open and throws the error that errno holds.
+[[noreturn]] void closeAndThrow(int fd, const char *operation, const Address &address) {
   const int error = errno;
   if (fd >= 0) close(fd);
-  throw std::system_error(error, std::generic_category(), what);
+  throw std::system_error(error, std::generic_category(), operation + formatAddress(address));
 }
 
-std::unique_ptr<Socket> bindSocket(Scheduler &sched, DescriptorBudget &budget, Address address, int kind) {
-  const int fd = socket(address.storage.sin6_family, kind | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) closeAndThrow(fd, "socket");
+std::unique_ptr<Socket> bindSocket(Scheduler &sched, DescriptorBudget &budget, Address address, int type) {
+  const int fd = socket(address.storage.sin6_family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (fd < 0) closeAndThrow(fd, "cannot create a socket for ", address);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind(fd, address.asSockaddr(), address.size()) != 0) closeAndThrow(fd, "can't bind");
-  if (kind == SOCK_STREAM && listen(fd, SOMAXCONN) != 0) closeAndThrow(fd, "can't listen");
+  if (bind(fd, address.asSockaddr(), address.size()) != 0) closeAndThrow(fd, "cannot bind to ", address);
+  if (type == SOCK_STREAM && listen(fd, SOMAXCONN) != 0) closeAndThrow(fd, "cannot listen on ", address);
   return std::make_unique<Socket>(sched, budget, fd);
 }
 
@@ -62,17 +63,18 @@
   if (colon == std::string_view::npos) return std::nullopt;
   auto host = std::string(text.substr(0, colon));
   const auto port = text.substr(colon + 1);
-  std::uint16_t number = 0;
-  const auto r = std::from_chars(port.data(), port.data() + port.size(), number);
-  if (port.empty() || r.ec != std::errc{} || r.ptr != port.data() + port.size()) return std::nullopt;
+  std::uint16_t portNumber = 0;
+  const auto parsed = std::from_chars(port.data(), port.data() + port.size(), portNumber);
+  if (port.empty() || parsed.ec != std::errc{} || parsed.ptr != port.data() + port.size())
+    return std::nullopt;
   Address address;
   const bool isV6 = host.size() > 2 && host.front() == '[' && host.back() == ']';
   if (isV6) host = host.substr(1, host.size() - 2);
-  auto *v4Place = &reinterpret_cast<sockaddr_in *>(address.asSockaddr())->sin_addr;
+  auto *v4Address = &reinterpret_cast<sockaddr_in *>(address.asSockaddr())->sin_addr;
   address.storage.sin6_family = isV6 ? AF_INET6 : AF_INET;
-  address.storage.sin6_port = htons(number);
-  const void *place = isV6 ? static_cast<const void *>(&address.storage.sin6_addr) : v4Place;
-  if (inet_pton(address.storage.sin6_family, host.c_str(), const_cast<void *>(place)) != 1)
+  address.storage.sin6_port = htons(portNumber);
+  const void *target = isV6 ? static_cast<const void *>(&address.storage.sin6_addr) : v4Address;
+  if (inet_pton(address.storage.sin6_family, host.c_str(), const_cast<void *>(target)) != 1)
     return std::nullopt;
   return address;
 }
@@ -90,9 +92,9 @@
 }
 
 Socket::Socket(Scheduler &sched, DescriptorBudget &budget, int fd) : sched_(sched), budget_(budget), fd_(fd) {
-  int kind = 0;
-  socklen_t size = sizeof kind;
-  isStream_ = getsockopt(fd, SOL_SOCKET, SO_TYPE, &kind, &size) == 0 && kind == SOCK_STREAM;
+  int type = 0;
+  socklen_t size = sizeof type;
+  isStream_ = getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &size) == 0 && type == SOCK_STREAM;
   budget_.acquire();
   sched_.watch(fd, *this);
 }
@@ -126,10 +128,10 @@
 void Socket::shutdown() { ::shutdown(fd_, SHUT_RDWR); }
 
 ErrorCode Socket::tryRead(Buffer &into) {
-  const auto space = into.prepare(kReadSize);
+  const auto space = into.prepare(kMinReadBytes);
   const auto n = recv(fd_, space.data(), space.size(), 0);
   const bool isDrained = n < 0 ? errno == EAGAIN : isStream_ && static_cast<std::size_t>(n) < space.size();
-  if (isDrained && !isHungUp_) isReadReady_ = false; // what arrives from now on is an edge of its own
+  if (isDrained && !isHungUp_) isReadReady_ = false; // epoll reports any later data as a new edge
   if (n > 0) {
     into.commit(static_cast<std::size_t>(n));
     return ErrorCode::none;
@@ -140,17 +142,17 @@
 
 Task<ErrorCode> Socket::read(Buffer &into, Deadline deadline) {
   for (;;) {
-    // Where nothing can be there, a system call is saved.
+    // No system call is made if no data can have arrived since the last read.
     const auto error = isReadReady_ ? tryRead(into) : ErrorCode::timedOut;
     if (error != ErrorCode::timedOut) co_return error;
     const auto woken = co_await sched_.wait(readable_, deadline);
-    if (woken != sched::WakeReason::notified) co_return errorOf(woken);
+    if (woken != sched::WakeReason::notified) co_return errorFromWakeReason(woken);
   }
 }
 
 Task<ErrorCode> Socket::waitReadable(Deadline deadline) {
   const auto woken = co_await sched_.wait(readable_, deadline);
-  co_return woken == sched::WakeReason::notified ? ErrorCode::none : errorOf(woken);
+  co_return woken == sched::WakeReason::notified ? ErrorCode::none : errorFromWakeReason(woken);
 }
 
 Task<ErrorCode> Socket::write(std::string_view bytes, Deadline deadline) {
@@ -163,7 +165,7 @@
     }
     if (errno != EAGAIN && errno != EINTR) co_return ErrorCode::connectionLost;
     const auto woken = co_await sched_.wait(writable_, deadline);
-    if (woken != sched::WakeReason::notified) co_return errorOf(woken);
+    if (woken != sched::WakeReason::notified) co_return errorFromWakeReason(woken);
   }
   co_return ErrorCode::none;
 }
@@ -184,13 +186,13 @@
   auto socket = std::make_unique<Socket>(sched, budget, fd);
   disableNagle(fd);
   if (::connect(fd, to.asSockaddr(), to.size()) == 0) co_return std::move(socket);
-  if (errno != EINPROGRESS) co_return Failure{errorOf(errno)};
+  if (errno != EINPROGRESS) co_return Failure{errorFromErrno(errno)};
   const auto woken = co_await sched.wait(socket->writable_, deadline);
-  if (woken != sched::WakeReason::notified) co_return Failure{errorOf(woken)};
+  if (woken != sched::WakeReason::notified) co_return Failure{errorFromWakeReason(woken)};
   int error = 0;
   socklen_t size = sizeof error;
   getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
-  if (error != 0) co_return Failure{errorOf(error)};
+  if (error != 0) co_return Failure{errorFromErrno(error)};
   co_return std::move(socket);
 }
 
@@ -221,8 +223,8 @@
   const int fd = accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) {
     if (errno == EAGAIN) return Failure{ErrorCode::timedOut};
-    const bool isShort = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    return Failure{isShort ? ErrorCode::noDescriptorLeft : ErrorCode::connectionLost};
+    const bool isOutOfResources = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+    return Failure{isOutOfResources ? ErrorCode::noDescriptorLeft : ErrorCode::connectionLost};
   }
   disableNagle(fd);
   return std::make_unique<Socket>(sched, budget, fd);
--- a/src/base/net/socket.h
+++ b/src/base/net/socket.h
@@ -1,4 +1,5 @@
-// Non-blocking sockets on loopback or a private network: connect, accept, read and write as awaited calls.
+// Non-blocking sockets for loopback and private networks, whose connect, read and write operations are
+// coroutines.
 #pragma once
 
 #include "base/net/buffer.h"
@@ -20,48 +21,52 @@
 
 // An IPv4 or IPv6 address with its port.
 struct Address {
-  sockaddr_in6 storage{}; // of a sockaddr_in, where the family is AF_INET
+  sockaddr_in6 storage{}; // holds a sockaddr_in if the family is AF_INET
   Address() { storage.sin6_family = AF_INET; }
   const sockaddr *asSockaddr() const { return reinterpret_cast<const sockaddr *>(&storage); }
   sockaddr *asSockaddr() { return reinterpret_cast<sockaddr *>(&storage); }
   socklen_t size() const { return isV6() ? sizeof(sockaddr_in6) : sizeof(sockaddr_in); }
   bool isV6() const { return storage.sin6_family == AF_INET6; }
-  std::uint16_t port() const { return ntohs(storage.sin6_port); } // at the same offset in both families
+  // The port is at the same offset in sockaddr_in and sockaddr_in6.
+  std::uint16_t port() const { return ntohs(storage.sin6_port); }
   bool operator==(const Address &other) const;
 };
-// "10.1.0.18:6432" or "[fd00::12]:6432"; nullopt where it is neither.
+// Parses a text such as "10.1.0.18:6432" or "[fd00::12]:6432". Returns nullopt if the text has neither form.
 std::optional<Address> parseAddress(std::string_view text);
+// Returns the text that parseAddress() reads.
 std::string formatAddress(const Address &address);
 
-// One non-blocking descriptor, registered with the scheduler and counted by the budget for as long as it
-// exists.
+// A non-blocking socket descriptor. It is registered with the scheduler and counted in the budget during the
+// lifetime of the object.
 class Socket final : private sched::DescriptorObserver {
 public:
-  // Takes over `fd`, and closes it.
+  // Takes ownership of `fd`; the destructor closes it.
   Socket(Scheduler &sched, DescriptorBudget &budget, int fd);
   ~Socket();
   Socket(const Socket &) = delete;
   Socket &operator=(const Socket &) = delete;
 
-  // Appends at least one byte to `into`.
+  // Waits for data and appends at least one byte to `into`. Returns closedByPeer at the end of the stream.
   Task<ErrorCode> read(Buffer &into, Deadline deadline);
-  // Writes all bytes; they must stay valid until it returns.
+  // Writes all bytes. They must stay valid until the coroutine ends; after a failure a part may be written.
   Task<ErrorCode> write(std::string_view bytes, Deadline deadline);
+  // Waits until epoll reports that the socket became readable after the call.
   Task<ErrorCode> waitReadable(Deadline deadline);
-  // One read without waiting; timedOut: there is nothing to read.
+  // Reads once without waiting. Returns timedOut if there is nothing to read.
   ErrorCode tryRead(Buffer &into);
-  // Whether all bytes could be written without waiting.
+  // Writes without waiting. Returns true if all bytes were written.
   bool tryWrite(std::string_view bytes);
-  // Whether the other side has it open, and there is nothing to read.
+  // Returns true if the peer has not closed the connection and there is nothing to read.
   bool isOpenAndIdle() const;
-  // Cancels `token` once the other side has closed its end; nullptr: no longer.
+  // Cancels `token` as soon as the peer has closed its end, at once if it already has. The token must outlive
+  // the registration; nullptr removes it.
   void cancelOnHangUp(sched::CancellationToken *token);
-  // The other side reads the end of the stream behind what has been written.
+  // Ends the outgoing stream: the peer reads the end of the stream after the bytes written so far.
   void shutdownWrite();
-  // Whoever reads or writes here sees the end of the stream.
+  // Ends both directions. Coroutines that read from or write to this socket see the end of the stream.
   void shutdown();
   int fd() const { return fd_; }
-  std::size_t bytesWritten() const { return bytesWritten_; } // in all
+  std::size_t bytesWritten() const { return bytesWritten_; } // by all write() calls so far
 
 private:
   friend Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &, DescriptorBudget &, Address, Deadline);
@@ -74,25 +79,26 @@
   sched::CancellationToken *hangUpToken_ = nullptr;
   bool isHungUp_ = false;
   bool isStream_ = false;
-  bool isReadReady_ = true; // something may have arrived since the last read that took all
+  bool isReadReady_ = true; // data may have arrived since a read last emptied the receive queue
   std::size_t bytesWritten_ = 0;
 };
 
-// A TCP connection to `to`.
+// Opens a TCP connection to `to`.
 Task<Result<std::unique_ptr<Socket>>> connect(Scheduler &sched, DescriptorBudget &budget, Address to,
                                               Deadline deadline);
 
-// Throw std::system_error where the address can't be bound: the program then can't serve.
+// Both throw std::system_error if the address cannot be bound, as the program cannot serve without it.
 std::unique_ptr<Socket> listenTcp(Scheduler &sched, DescriptorBudget &budget, Address address);
 std::unique_ptr<Socket> bindUdp(Scheduler &sched, DescriptorBudget &budget, Address address);
-// A datagram socket that receives from `to` alone, at a port that the system draws. nullptr: no descriptor is
-// left, or there is no route.
+// Opens a datagram socket that receives only from `to`, at a local port chosen by the operating system.
+// Returns nullptr if no descriptor is left or there is no route to `to`.
 std::unique_ptr<Socket> connectUdp(Scheduler &sched, DescriptorBudget &budget, Address to);
-// The address to which a socket is bound.
+// Returns the local address of a socket.
 Address localAddress(const Socket &socket);
 
-// A connection that waits in the backlog, without waiting for one. timedOut: there is none;
-// noDescriptorLeft: the system is short of descriptors; connectionLost: it has ended already.
+// Accepts a connection from the backlog without waiting. The cause of a failure is timedOut if the backlog is
+// empty, noDescriptorLeft if the system is short of descriptors or socket memory, and connectionLost for any
+// other error, such as a connection that has already ended.
 Result<std::unique_ptr<Socket>> tryAccept(Scheduler &sched, DescriptorBudget &budget, Socket &listener);
 
 } // namespace myrtlehead::net
--- a/src/base/sched/scheduler.cpp
+++ b/src/base/sched/scheduler.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t kMaxEventsPerPoll = 256;
 constexpr Nanoseconds kNanosecondsPerSecond = 1'000'000'000;
 constexpr Nanoseconds kNanosecondsPerMillisecond = 1'000'000;
-constexpr Nanoseconds kMaxPollTime = 60 * kNanosecondsPerSecond; // epoll takes milliseconds as an int
+constexpr Nanoseconds kMaxPollTime =
+    60 * kNanosecondsPerSecond; // epoll_wait takes its timeout as an int in milliseconds
 
 } // namespace
 
@@ -72,7 +73,7 @@
 Scheduler::Scheduler(Clock clock) : clock_(clock) {
   if (clock_ == Clock::simulated) return;
   epoll_ = epoll_create1(EPOLL_CLOEXEC);
-  if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll");
+  if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "cannot create an epoll instance");
   readClock();
 }
 
@@ -89,21 +90,22 @@
 }
 
 Task<> Scheduler::runRoot(Task<> task, std::list<Task<>>::iterator *self) {
-  const auto own = *self; // read before the first wait: it stands on the caller's stack
+  // `self` points into the stack frame of spawn(), so it is read before the first suspension.
+  const auto position = *self;
   co_await sleep(0);
   try {
     co_await task;
   } catch (const std::exception &e) {
     if (onUncaughtException) onUncaughtException(e.what());
   }
-  finishedRoots_.push_back(own);
+  finishedRoots_.push_back(position);
 }
 
 void Scheduler::spawn(Task<> task) {
-  auto at = roots_.end();
-  roots_.push_back(runRoot(std::move(task), &at));
-  at = std::prev(roots_.end());
-  at->start();
+  auto position = roots_.end();
+  roots_.push_back(runRoot(std::move(task), &position));
+  position = std::prev(roots_.end());
+  position->start();
 }
 
 void Scheduler::watch(int fd, DescriptorObserver &observer) {
@@ -111,16 +113,16 @@
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.ptr = &observer;
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0)
-    throw std::system_error(errno, std::generic_category(), "epoll");
+    throw std::system_error(errno, std::generic_category(), "cannot register a descriptor with epoll");
 }
 
 void Scheduler::unwatch(int fd) {
-  epoll_event ignored{}; // kernels before 2.6.9 want one
+  epoll_event ignored{}; // kernels before 2.6.9 require a non-null pointer
   epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, &ignored);
 }
 
-// Guards against timing out what has already arrived while this process was not running: descriptors are
-// polled before timers expire.
+// Descriptors are polled before timers expire, so that data that arrived while this process was not running
+// is read instead of timing out.
 void Scheduler::run() {
   while (!isHalted_) {
     poll();
@@ -131,7 +133,7 @@
   }
 }
 
-// No coroutine is resumed or destroyed in here, so each event's observer still exists.
+// No coroutine is resumed or destroyed in this function, so the observer of each event still exists.
 void Scheduler::poll() {
   if (clock_ == Clock::simulated) return advanceSimulatedClock();
   std::array<epoll_event, kMaxEventsPerPoll> events;
@@ -153,9 +155,9 @@
   constexpr int kNoTimeout = -1;
   if (!ready_.isEmpty()) return 0;
   if (timers_.empty()) return kNoTimeout;
-  const auto left = std::clamp<Nanoseconds>(timers_.begin()->first - now_, 0, kMaxPollTime);
-  // Rounded up, so that the timer is due when epoll_wait returns.
-  return static_cast<int>((left + kNanosecondsPerMillisecond - 1) / kNanosecondsPerMillisecond);
+  const auto remaining = std::clamp<Nanoseconds>(timers_.begin()->first - now_, 0, kMaxPollTime);
+  // The timeout is rounded up, so that the timer is due when epoll_wait returns.
+  return static_cast<int>((remaining + kNanosecondsPerMillisecond - 1) / kNanosecondsPerMillisecond);
 }
 
 void Scheduler::expireTimers() {
@@ -163,7 +165,8 @@
     timers_.begin()->second->wake(WakeReason::timedOut);
 }
 
-// One round: what becomes ready meanwhile waits for the next, behind the descriptors.
+// Resumes the coroutines that are ready at the start of the round. Coroutines that become ready during the
+// round wait for the next one, after the descriptors have been polled.
 void Scheduler::resumeReady() {
   WaitListNode round;
   while (!ready_.isEmpty()) ready_.next->appendTo(round);
--- a/src/base/sched/scheduler.h
+++ b/src/base/sched/scheduler.h
@@ -1,8 +1,9 @@
-// The scheduler: coroutines over epoll on one thread. Each wait ends by an event, at a time or by a
-// cancellation, and unlinks itself from every queue when its coroutine is destroyed.
+// A single-threaded scheduler that runs coroutines on top of epoll. A wait ends with an event, at a deadline
+// or with a cancellation. If a waiting coroutine is destroyed, its wait removes itself from every queue.
 //
-// Order: coroutines are resumed in the order in which they became ready. What becomes ready during a round
-// waits for the next one, behind the descriptors' events and the timers.
+// Order: coroutines are resumed in the order in which they became ready. A coroutine that becomes ready
+// during a round is resumed in the next round, after that round has polled the descriptors and expired the
+// timers.
 #pragma once
 
 #include "base/sched/task.h"
@@ -15,35 +16,35 @@
 
 namespace myrtlehead::sched {
 
-// Durations, and times on the scheduler's clock.
+// A duration, or a point in time on the clock of the scheduler.
 using Nanoseconds = std::int64_t;
-// The time of a deadline that never passes.
+// The time of a deadline that never expires.
 constexpr Nanoseconds kNever = std::numeric_limits<Nanoseconds>::max();
 
 class Wait;
 class Scheduler;
 
-// A node of an intrusive, circular list of waits. One without a wait is the list itself. It unlinks itself
-// when it is destroyed.
+// A node of an intrusive, circular, doubly linked list of waits. A node whose `wait` is null is the head of a
+// list. The destructor removes the node from its list.
 struct WaitListNode {
   explicit WaitListNode(Wait *w = nullptr) : wait(w) {}
   WaitListNode(const WaitListNode &) = delete;
   WaitListNode &operator=(const WaitListNode &) = delete;
   ~WaitListNode() { unlink(); }
-  // Whether it is linked to no other node: of the list itself, whether that is empty.
+  // Returns true if no other node is linked to this one. For the head of a list: the list is empty.
   bool isEmpty() const { return next == this; }
   void unlink();
-  // Moves it to the end of `list`.
+  // Removes this node from its list and appends it to `list`.
   void appendTo(WaitListNode &list);
   Wait *wait;
   WaitListNode *previous = this;
   WaitListNode *next = this;
 };
 
-// Why a wait has ended.
+// The reason why a wait ended.
 enum class WakeReason { notified, timedOut, cancelled };
 
-// An event without a state: a notification wakes all that wait at that moment, and is not kept for others.
+// A stateless event: notify() wakes the coroutines that wait at that moment and has no effect on later waits.
 class Event {
 public:
   void notify();
@@ -53,7 +54,8 @@
   WaitListNode waiters_;
 };
 
-// A lasting request to end what is done under it: it wakes all that wait, and each later wait at once.
+// A request to end the operations that use the token. cancel() is permanent: it wakes the coroutines that
+// wait, and every later wait with the token ends at once.
 class CancellationToken {
 public:
   void cancel();
@@ -65,13 +67,14 @@
   WaitListNode waiters_;
 };
 
-// Until when an operation may take, and what may cancel it before; nullptr: nothing.
+// The time at which an operation is abandoned, and a token that may cancel it earlier.
 struct Deadline {
   Nanoseconds at = kNever;
-  CancellationToken *cancellation = nullptr;
+  CancellationToken *cancellation = nullptr; // null if the operation cannot be cancelled
 };
 
-// What a coroutine awaits to be suspended until an event, a deadline or a cancellation. Always suspends once.
+// An awaitable that suspends a coroutine until an event, a deadline or a cancellation. The coroutine is
+// always suspended, even if the wait ends at once.
 class Wait {
 public:
   Wait(Scheduler &scheduler, Event *event, Deadline deadline)
@@ -83,7 +86,7 @@
   bool await_ready() const { return false; }
   void await_suspend(std::coroutine_handle<> coroutine);
   WakeReason await_resume() const { return wakeReason_; }
-  // Makes the coroutine ready to be resumed.
+  // Ends the wait: puts the coroutine into the queue of ready coroutines.
   void wake(WakeReason reason);
 
 private:
@@ -101,7 +104,7 @@
   bool hasTimer_ = false;
 };
 
-// Receives a file descriptor's epoll events, edge-triggered.
+// Receives the edge-triggered epoll events of a file descriptor.
 class DescriptorObserver {
 public:
   virtual void onEvents(std::uint32_t events) = 0;
@@ -110,38 +113,41 @@
   ~DescriptorObserver() = default;
 };
 
-// The system's monotonic clock, or a simulated one that jumps to the next time at which anything is due: then
-// no descriptor can be watched, and run() returns once nothing is due any more.
+// `system` is the monotonic clock of the system. `simulated` jumps to the time of the next timer if no
+// coroutine is ready; no descriptor can be watched then, and run() returns as soon as no coroutine is ready
+// and no timer is left.
 enum class Clock { system, simulated };
 
 class Scheduler {
 public:
-  // Throws std::system_error where epoll can't be had.
+  // Throws std::system_error if the epoll instance cannot be created.
   explicit Scheduler(Clock clock = Clock::system);
   ~Scheduler();
   Scheduler(const Scheduler &) = delete;
   Scheduler &operator=(const Scheduler &) = delete;
 
-  // The time as it was read last: at the beginning of the round, and before each resumed coroutine.
+  // The time at which the clock was last read. The clock is read before and after the descriptors are polled
+  // and before each coroutine is resumed.
   Nanoseconds now() const { return now_; }
   Wait wait(Event &event, Deadline deadline = {}) { return {*this, &event, deadline}; }
-  // `duration` of 0: until the next round.
+  // With a `duration` of 0 the coroutine is resumed in the next round.
   Wait sleep(Nanoseconds duration, CancellationToken *cancellation = nullptr) {
     return {*this, nullptr, {now_ + duration, cancellation}};
   }
-  // Runs a coroutine of its own, from the next round on; it is the scheduler's until it ends. An exception
-  // that it throws ends it alone and goes to `onUncaughtException`.
+  // Starts an independent coroutine in the next round. The scheduler owns it until it ends. An exception
+  // thrown by the coroutine ends only that coroutine and is reported to `onUncaughtException`.
   void spawn(Task<> task);
-  // Throws std::system_error where the descriptor can't be watched.
+  // Reports the events of `fd` to `observer` until unwatch(). Throws std::system_error if epoll rejects `fd`.
   void watch(int fd, DescriptorObserver &observer);
-  // Removes a registration; to be called before the descriptor is closed. Closing alone does not remove it
-  // while a duplicate is open, as in a child process between fork and exec.
+  // Removes the registration of `fd`. Must be called before the descriptor is closed: the kernel keeps the
+  // registration while a duplicate of the descriptor is open, as in a child process between fork and exec.
   void unwatch(int fd);
-  void run(); // returns after halt()
+  void run(); // returns after halt(), or as described at Clock::simulated
   void halt() { isHalted_ = true; }
-  // Destroys each spawned coroutine where it waits; for the end of the program.
+  // Destroys all spawned coroutines at the point where they wait. Used at the end of the program.
   void destroyAllTasks() { roots_.clear(); }
 
+  // Called with what() of an exception that ended a spawned coroutine.
   std::function<void(const char *what)> onUncaughtException;
 
 private:
@@ -159,7 +165,7 @@
   Nanoseconds now_ = 0;
   bool isHalted_ = false;
   WaitListNode ready_;
-  std::multimap<Nanoseconds, Wait *> timers_; // by the time at which each is due
+  std::multimap<Nanoseconds, Wait *> timers_; // by deadline
   std::list<Task<>> roots_;                   // the spawned coroutines
   std::list<std::list<Task<>>::iterator> finishedRoots_;
 };
--- a/src/base/sched/task.h
+++ b/src/base/sched/task.h
@@ -1,5 +1,6 @@
-// A coroutine that starts when it is awaited and returns one value, or an exception, to the coroutine that
-// awaits it. The Task owns its frame: destroying the Task destroys the coroutine wherever it is suspended.
+// A lazily started coroutine: it starts when it is awaited and returns one value, or throws an exception, to
+// the coroutine that awaits it. A Task owns the coroutine frame: the destructor of the Task destroys the
+// coroutine at the point where it is suspended.
 #pragma once
 
 #include <coroutine>
@@ -14,7 +15,8 @@
 namespace detail {
 
 struct PromiseBase {
-  std::coroutine_handle<> continuation = std::noop_coroutine(); // of the coroutine that awaits this one
+  // The coroutine that awaits this one, resumed when this one finishes.
+  std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr exception;
 
   std::suspend_always initial_suspend() noexcept { return {}; }
@@ -44,7 +46,7 @@
 
 } // namespace detail
 
-// Is awaited, or started, once at most.
+// A Task may be awaited or started at most once.
 template <class T = void> class [[nodiscard]] Task {
 public:
   using promise_type = detail::Promise<T>;
@@ -69,7 +71,7 @@
     if (frame_.promise().exception) std::rethrow_exception(frame_.promise().exception);
     return frame_.promise().takeValue();
   }
-  // Runs it up to its first suspension, with nobody that awaits it.
+  // Runs the coroutine up to its first suspension, without a coroutine that awaits it.
   void start() { frame_.resume(); }
 
 private:
--- a/src/base/storage/atomic_file.cpp
+++ b/src/base/storage/atomic_file.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::string_view kMagic = "myrtlehead ";
-constexpr std::size_t kMaxFileBytes = 64u << 20;
+constexpr std::size_t kMaxFileBytes = 64u << 20; // 64 MiB
 
 std::string headerFor(const FileIdentity &identity, std::string_view payload) {
   return fmt::format("{}{} of '{}', format {}, {} bytes, xxh3 {:016x}\n", kMagic, identity.content,
@@ -23,7 +23,7 @@
                      XXH3_64bits(payload.data(), payload.size()));
 }
 
-// An open file; the destructor closes it.
+// Owns a file descriptor; the destructor closes it. Newly created files are readable by the owner only.
 class File {
 public:
   File(const char *path, int flags) : fd_(::open(path, flags | O_CLOEXEC, 0600)) {}
@@ -48,9 +48,10 @@
   int fd_;
 };
 
+// Describes a step that has just failed and set errno.
 SaveError saveError(SaveError::Step step, const std::string &path) { return {step, path, errno}; }
 
-std::string folderOf(const std::string &path) {
+std::string directoryOf(const std::string &path) {
   const auto slash = path.rfind('/');
   return slash == std::string::npos ? "." : path.substr(0, slash + 1);
 }
@@ -58,8 +59,8 @@
 } // namespace
 
 std::string SaveError::message() const {
-  constexpr const char *kSteps[] = {"open", "write", "replace", "sync the folder of"};
-  return std::string("can't ") + kSteps[static_cast<int>(step)] + " " + path + ": " +
+  constexpr const char *kSteps[] = {"open", "write", "replace", "sync the directory of"};
+  return std::string("cannot ") + kSteps[static_cast<int>(step)] + " " + path + ": " +
          std::strerror(errorNumber);
 }
 
@@ -68,40 +69,41 @@
 }
 
 LoadResult decode(std::string_view bytes, const FileIdentity &identity) {
-  constexpr std::size_t kMaxQuotedHeader = 80;
+  constexpr std::size_t kMaxQuotedHeaderBytes = 80;
   const auto headerEnd = bytes.find('\n');
   const auto header = bytes.substr(0, headerEnd);
   const auto expected = fmt::format("{}{} of '{}', format ", kMagic, identity.content, identity.owner);
   if (!header.starts_with(kMagic) || headerEnd == std::string_view::npos)
     return {bytes.empty() ? LoadStatus::corrupted : LoadStatus::foreign, "",
-            "it is not a state file of this program"};
+            "the file is not a state file of myrtlehead"};
   if (!header.starts_with(expected))
     return {LoadStatus::foreign, "",
-            "it has other content or is another instance's: " +
-                std::string(header.substr(0, kMaxQuotedHeader))};
+            "the file has another kind of content or belongs to another instance; its header is: " +
+                std::string(header.substr(0, kMaxQuotedHeaderBytes))};
   const auto formatEnd = header.find(',', expected.size());
   const auto format = header.substr(expected.size(), formatEnd - expected.size());
   if (format != std::to_string(identity.format))
     return {LoadStatus::unsupportedFormat, "",
-            fmt::format("it has format {}, and this program reads {}", format, identity.format)};
+            fmt::format("the file has format {}, but this program reads only format {}", format,
+                        identity.format)};
   const auto payload = bytes.substr(headerEnd + 1);
   if (bytes.substr(0, headerEnd + 1) != headerFor(identity, payload))
-    return {LoadStatus::corrupted, "", "its length or checksum is not the one in its header"};
+    return {LoadStatus::corrupted, "", "the length or checksum of the file does not match its header"};
   return {LoadStatus::loaded, std::string(payload), ""};
 }
 
 LoadResult load(const std::string &path, const FileIdentity &identity) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) return {LoadStatus::missing, "", "there is none"};
+  if (!in) return {LoadStatus::missing, "", "the file does not exist or cannot be opened"};
   std::ostringstream text;
   text << in.rdbuf();
   const auto bytes = std::move(text).str();
   auto result = bytes.size() > kMaxFileBytes
-                    ? LoadResult{LoadStatus::corrupted, "", "it is larger than 64 MiB"}
+                    ? LoadResult{LoadStatus::corrupted, "", "the file is larger than 64 MiB"}
                     : decode(bytes, identity);
   if (result.status != LoadStatus::loaded) {
-    const auto aside = path + ".refused";
-    if (std::rename(path.c_str(), aside.c_str()) == 0) result.problem += "; kept as " + aside;
+    const auto keptPath = path + ".refused";
+    if (std::rename(path.c_str(), keptPath.c_str()) == 0) result.problem += "; kept as " + keptPath;
   }
   return result;
 }
@@ -115,8 +117,8 @@
     if (!file.write(bytes) || !file.sync()) return saveError(Step::write, newPath);
   }
   if (std::rename(newPath.c_str(), path.c_str()) != 0) return saveError(Step::replace, path);
-  const File folder(folderOf(path).c_str(), O_RDONLY | O_DIRECTORY);
-  if (!folder.isOpen() || !folder.sync()) return saveError(Step::syncFolder, path);
+  const File directory(directoryOf(path).c_str(), O_RDONLY | O_DIRECTORY);
+  if (!directory.isOpen() || !directory.sync()) return saveError(Step::syncDirectory, path);
   return std::nullopt;
 }
 
@@ -132,7 +134,7 @@
 void AtomicFileWriter::submit(std::string bytes) {
   {
     const std::lock_guard lock(mutex_);
-    next_ = std::move(bytes);
+    pendingBytes_ = std::move(bytes);
   }
   submitted_.notify_one();
 }
@@ -145,9 +147,9 @@
 void AtomicFileWriter::run() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    submitted_.wait(lock, [&] { return next_.has_value() || isClosing_; });
-    if (!next_) return;
-    const auto bytes = *std::exchange(next_, std::nullopt);
+    submitted_.wait(lock, [&] { return pendingBytes_.has_value() || isClosing_; });
+    if (!pendingBytes_) return;
+    const auto bytes = *std::exchange(pendingBytes_, std::nullopt);
     lock.unlock();
     auto error = save(path_, bytes);
     lock.lock();
