--- a/src/app/instance.h
+++ b/src/app/instance.h
@@ -50,7 +50,7 @@
   const settings::Settings &settings_;
 
   // The order of construction: each component refers only to components above it.
-  log::Logs logs_;
+  log::LogOutput logs_;
   log::Log log_;
   log::Log routerLog_;
   log::Log discoveryLog_;
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -55,8 +55,8 @@
   } catch (const std::exception &e) {
     log.error("the new settings are not applied", {{"why", e.what()}});
   }
-  log.info("configuration reloaded", {{"discovery", net::text(config->discoveryAddress)},
-                                      {"platform", net::text(config->platformAddress)}});
+  log.info("configuration reloaded", {{"discovery", net::formatAddress(config->discoveryAddress)},
+                                      {"platform", net::formatAddress(config->platformAddress)}});
 }
 
 } // namespace
--- a/src/app/reload.h
+++ b/src/app/reload.h
@@ -31,7 +31,7 @@
   discovery::EndpointWatch &endpointWatch;
   rollout::RolloutClient &rolloutClient;
   dns_discovery::DnsDiscovery *dnsDiscovery; // nullptr if there is no DNS discovery
-  log::Logs &logs;
+  log::LogOutput &logs;
 };
 
 // Applies reload requests until the task is destroyed. A configuration that cannot be decoded changes
