--- a/fuzz/dns_message.cpp
+++ b/fuzz/dns_message.cpp
@@ -18,11 +18,11 @@
       query.sent.id = static_cast<std::uint16_t>(data[0] << 8 | data[1]); // or nothing gets past the id
     query.sent.letterCase = 0;
     dns::Message message;
-    switch (dns::readAnswer(bytes, query.sent, message)) {
-    case dns::Reading::answer:
+    switch (dns::readResponse(bytes, query.sent, message)) {
+    case dns::ReadResult::accepted:
       lookup.onResponse(message, dns_resolution::LetterCase::preserved, n);
       break;
-    case dns::Reading::folded:
+    case dns::ReadResult::caseMismatch:
       lookup.onResponse(message, dns_resolution::LetterCase::changed, n);
       break;
     default:
--- a/src/admin/metrics_server.cpp
+++ b/src/admin/metrics_server.cpp
@@ -49,12 +49,12 @@
   net::Buffer buffer;
   http::Head head;
   std::size_t size = 0;
-  auto parsed = http::Parsed::more;
-  while ((parsed = http::parseRequest(buffer.view(), head, size)) == http::Parsed::more) {
+  auto parsed = http::ParseStatus::incomplete;
+  while ((parsed = http::parseRequest(buffer.view(), head, size)) == http::ParseStatus::incomplete) {
     const auto error = co_await socket->read(buffer, deadline);
     if (error != net::ErrorCode::none) co_return;
   }
-  if (parsed == http::Parsed::bad) co_return;
+  if (parsed == http::ParseStatus::malformed) co_return;
   const auto answer = answerTo(head, registry_);
   const auto error = co_await socket->write(answer, deadline);
   if (error == net::ErrorCode::none) socket->shutdownWrite();
--- a/src/app/bootstrap/config_paths.cpp
+++ b/src/app/bootstrap/config_paths.cpp
@@ -46,7 +46,7 @@
   case json::Value::null:
     return;
   case json::Value::boolean:
-    values_[path] = value.truth ? "true" : "false";
+    values_[path] = value.boolValue ? "true" : "false";
     return;
   case json::Value::number:
   case json::Value::string:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -93,7 +93,7 @@
 int resolve(const CommandLine &line) {
   const auto servers = parseServers(line.servers);
   for (const auto &name : line.names)
-    if (!dns::canonical(name)) throw CLI::ValidationError("NAME", "'" + name + "' is no domain name");
+    if (!dns::canonicalName(name)) throw CLI::ValidationError("NAME", "'" + name + "' is no domain name");
   const auto within = settings::parseDuration(line.within);
   if (!within) throw CLI::ValidationError("--within", "'" + line.within + "' is no duration such as 5s");
   return app::resolve(line.names, servers, *within, line.outputForm == "json",
--- a/src/app/resolve.cpp
+++ b/src/app/resolve.cpp
@@ -26,7 +26,7 @@
 
 nlohmann::json describeSet(const dns_discovery::DnsDiscovery &discovery, const std::string &name,
                            std::size_t index, sched::Nanoseconds now) {
-  const dns::Question question{*dns::canonical(name), dns::Type::srv};
+  const dns::Question question{*dns::canonicalName(name), dns::Type::srv};
   constexpr const char *kStates[] = {"never", "fresh", "stale", "expired"};
   const auto &schedule = discovery.schedule();
   const auto *state = kStates[static_cast<int>(schedule.freshness(question, now))];
--- a/src/base/http_client/exchange.cpp
+++ b/src/base/http_client/exchange.cpp
@@ -19,7 +19,7 @@
   if (written != ErrorCode::none) co_return Failure{written, SendProgress::partlyWritten};
   const auto failure = co_await readHead(until);
   if (failure.cause != ErrorCode::none) co_return failure;
-  bodyDecoder_ = http::Body(head_);
+  bodyDecoder_ = http::BodyDecoder(head_);
   const auto decoded = decodeBody();
   co_return Failure{decoded == ErrorCode::closedByPeer ? ErrorCode::none : decoded,
                     SendProgress::responseStarted};
@@ -29,9 +29,10 @@
   auto progress = SendProgress::fullyWritten;
   for (;;) {
     std::size_t size = 0;
-    const auto parsed = http::parseAnswer(buffer_.view(), head_, size);
-    if (parsed == http::Parsed::bad) co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
-    if (parsed == http::Parsed::whole) {
+    const auto parsed = http::parseResponse(buffer_.view(), head_, size);
+    if (parsed == http::ParseStatus::malformed)
+      co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
+    if (parsed == http::ParseStatus::complete) {
       buffer_.consume(size);
       co_return Failure{ErrorCode::none, SendProgress::responseStarted};
     }
@@ -44,11 +45,11 @@
 // ErrorCode::closedByPeer: the body is complete.
 ErrorCode Exchange::decodeBody() {
   std::size_t used = 0;
-  const auto parsed = bodyDecoder_.take(buffer_.view(), body, used);
+  const auto parsed = bodyDecoder_.decode(buffer_.view(), body, used);
   buffer_.consume(used);
-  if (parsed == http::Parsed::bad) return ErrorCode::unreadable;
+  if (parsed == http::ParseStatus::malformed) return ErrorCode::unreadable;
   if (body.size() > kMaxUnconsumedBodyBytes) return ErrorCode::tooLarge;
-  isComplete_ = parsed == http::Parsed::whole;
+  isComplete_ = parsed == http::ParseStatus::complete;
   return isComplete_ ? ErrorCode::closedByPeer : ErrorCode::none;
 }
 
@@ -57,7 +58,7 @@
   while (!isComplete_) {
     const auto read = co_await socket_->read(buffer_, until);
     if (read == ErrorCode::closedByPeer)
-      co_return bodyDecoder_.untilEnd() ? ErrorCode::closedByPeer : ErrorCode::connectionLost;
+      co_return bodyDecoder_.endsWithConnection() ? ErrorCode::closedByPeer : ErrorCode::connectionLost;
     if (read != ErrorCode::none) co_return read;
     const auto decoded = decodeBody();
     if (decoded == ErrorCode::unreadable || decoded == ErrorCode::tooLarge) co_return decoded;
--- a/src/base/http_client/exchange.h
+++ b/src/base/http_client/exchange.h
@@ -31,7 +31,7 @@
   std::unique_ptr<net::Socket> socket_;
   net::Buffer buffer_;
   http::Head head_;
-  http::Body bodyDecoder_;
+  http::BodyDecoder bodyDecoder_;
   bool isComplete_ = false;
 };
 
--- a/src/base/http_client/persistent_connection.cpp
+++ b/src/base/http_client/persistent_connection.cpp
@@ -144,22 +144,22 @@
   http::Head head;
   std::size_t size = 0;
   for (;;) {
-    const auto parsed = http::parseAnswer(buffer.view(), head, size);
-    if (parsed == http::Parsed::bad) co_return ErrorCode::unreadable;
-    if (parsed == http::Parsed::whole) break;
+    const auto parsed = http::parseResponse(buffer.view(), head, size);
+    if (parsed == http::ParseStatus::malformed) co_return ErrorCode::unreadable;
+    if (parsed == http::ParseStatus::complete) break;
     const auto cause = co_await connection.socket->read(buffer, {});
     if (cause != ErrorCode::none) co_return cause;
   }
   buffer.consume(size);
-  http::Body body(head);
+  http::BodyDecoder body(head);
   for (;;) {
-    const auto parsed = body.take(buffer.view(), out.body, size);
+    const auto parsed = body.decode(buffer.view(), out.body, size);
     buffer.consume(size);
-    if (parsed == http::Parsed::bad) co_return ErrorCode::unreadable;
+    if (parsed == http::ParseStatus::malformed) co_return ErrorCode::unreadable;
     if (out.body.size() > kMaxResponseBytes) co_return ErrorCode::tooLarge;
-    if (parsed == http::Parsed::whole) break;
+    if (parsed == http::ParseStatus::complete) break;
     const auto cause = co_await connection.socket->read(buffer, {});
-    if (cause == ErrorCode::closedByPeer && body.untilEnd()) break;
+    if (cause == ErrorCode::closedByPeer && body.endsWithConnection()) break;
     if (cause != ErrorCode::none) co_return cause;
   }
   out.status = head.status;
--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -35,9 +35,9 @@
   const auto sql = toSql(record, timeout);
   const auto statement = pg::parseStatement(sql);
   if (statement.kind != pg::Statement::request)
-    co_return resultOf(ExecutionOutcome::failed, statement.complaint);
+    co_return resultOf(ExecutionOutcome::failed, statement.errorMessage);
   const bool isRetry = record.job.starts > 1;
-  RequestContext request(static_cast<int>(route), statement.key, timeout, isRetry, receivedAt);
+  RequestContext request(static_cast<int>(route), statement.rowKeyNumber, timeout, isRetry, receivedAt);
   co_return co_await runAttempts(statement, request, cancellation);
 }
 
--- a/src/control/discovery/endpoint_list.cpp
+++ b/src/control/discovery/endpoint_list.cpp
@@ -21,8 +21,8 @@
 std::optional<double> readNumber(const Value &in, const char *name, double least, double most) {
   const auto *value = in.find(name);
   if (value == nullptr || value->kind != Value::number) return std::nullopt;
-  if (value->real < least || value->real > most) return std::nullopt;
-  return std::floor(value->real);
+  if (value->numberValue < least || value->numberValue > most) return std::nullopt;
+  return std::floor(value->numberValue);
 }
 
 std::optional<std::string> readText(const Value &in, const char *name) {
@@ -117,7 +117,7 @@
   out.index = static_cast<std::uint64_t>(*index);
   const auto *snapshot = in.find("snapshot");
   if (snapshot == nullptr || snapshot->kind != Value::boolean) return ListError::noSnapshotFlag;
-  out.isSnapshot = snapshot->truth;
+  out.isSnapshot = snapshot->boolValue;
   const auto *endpoints = in.find("endpoints");
   if (endpoints == nullptr || endpoints->kind != Value::array) return ListError::noEndpoints;
   for (const auto &item : endpoints->items) {
--- a/src/control/dns/dns_discovery.cpp
+++ b/src/control/dns/dns_discovery.cpp
@@ -69,7 +69,7 @@
     : sched_(sched), budget_(budget), merge_(merge), settings_(settings), log_(std::move(log)),
       metrics_(metrics), random_(seed), schedule_(settings.resolution, seed + 1) {
   for (const auto &set : settings.srvNames) {
-    const auto name = *dns::canonical(set.name);
+    const auto name = *dns::canonicalName(set.name);
     merge_.addSrvName(name, set.release, set.zone);
     srvQuestions_.push_back({name, dns::Type::srv});
   }
@@ -145,7 +145,7 @@
   const auto &outcome = lookup.outcome();
   metrics_.onLookupFinished(outcome.result);
   log_.debug("DNS look-up", {{"name", question.name},
-                             {"type", word(question.type)},
+                             {"type", typeName(question.type)},
                              {"result", toText(outcome.result)},
                              {"records", outcome.records.size()},
                              {"failure", outcome.failure}});
--- a/src/control/dns/query_client.cpp
+++ b/src/control/dns/query_client.cpp
@@ -19,16 +19,16 @@
 
 // Sets the result from the outcome of decoding a message. Precondition: the message is a response to the
 // query.
-void setResponse(QueryResult &result, dns::Reading reading) {
-  result.hasResponse = reading != dns::Reading::unreadable;
-  result.letterCase = reading == dns::Reading::folded ? LetterCase::changed : LetterCase::preserved;
+void setResponse(QueryResult &result, dns::ReadResult reading) {
+  result.hasResponse = reading != dns::ReadResult::malformed;
+  result.letterCase = reading == dns::ReadResult::caseMismatch ? LetterCase::changed : LetterCase::preserved;
   result.error = QueryError::malformed;
 }
 
 } // namespace
 
 net::Task<QueryResult> queryOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
-                                    const dns::Sent &sent, net::Deadline deadline) {
+                                    const dns::SentQuery &sent, net::Deadline deadline) {
   QueryResult result;
   const auto socket = net::connectUdp(sched, budget, server);
   if (socket == nullptr || !socket->tryWrite(dns::writeQuery(sent))) {
@@ -44,9 +44,9 @@
       result.error = isTimeout ? QueryError::timedOut : QueryError::unreachable;
       co_return result;
     }
-    const auto reading = dns::readAnswer(buffer.view(), sent, result.message);
+    const auto reading = dns::readResponse(buffer.view(), sent, result.message);
     buffer.consume(buffer.view().size());
-    if (reading == dns::Reading::foreign) continue; // forged, or the response to an earlier query
+    if (reading == dns::ReadResult::unrelated) continue; // forged, or the response to an earlier query
     setResponse(result, reading);
     co_return result;
   }
@@ -71,7 +71,7 @@
   co_return connection_;
 }
 
-net::Task<QueryResult> TcpQueryClient::query(dns::Sent sent, net::Deadline deadline) {
+net::Task<QueryResult> TcpQueryClient::query(dns::SentQuery sent, net::Deadline deadline) {
   PendingQuery pending;
   pending.result.error = QueryError::unreachable;
   const auto connection = co_await connect(deadline);
@@ -121,8 +121,8 @@
   const auto it = connection.pending.find(id);
   if (it != connection.pending.end()) {
     auto &pending = *it->second;
-    const auto reading = dns::readAnswer(bytes, pending.sent, pending.result.message);
-    if (reading != dns::Reading::foreign) {
+    const auto reading = dns::readResponse(bytes, pending.sent, pending.result.message);
+    if (reading != dns::ReadResult::unrelated) {
       setResponse(pending.result, reading);
       pending.isDone = true;
       pending.done.notify();
--- a/src/control/dns/query_client.h
+++ b/src/control/dns/query_client.h
@@ -19,7 +19,7 @@
 };
 
 net::Task<QueryResult> queryOverUdp(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server,
-                                    const dns::Sent &sent, net::Deadline deadline);
+                                    const dns::SentQuery &sent, net::Deadline deadline);
 
 // Sends queries to one server over a TCP connection. The connection is opened by the first query, and closed
 // after an idle timeout or an error. Queries are pipelined, and responses are matched to them by query id.
@@ -27,12 +27,12 @@
 public:
   TcpQueryClient(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address server)
       : sched_(sched), budget_(budget), server_(server) {}
-  net::Task<QueryResult> query(dns::Sent sent, net::Deadline deadline);
+  net::Task<QueryResult> query(dns::SentQuery sent, net::Deadline deadline);
   int connectionsOpened() const { return connectionsOpened_; } // since construction
 
 private:
   struct PendingQuery {
-    dns::Sent sent;
+    dns::SentQuery sent;
     QueryResult result;
     bool isDone = false;
     sched::Event done;
--- a/src/control/rollout/rollout_client.cpp
+++ b/src/control/rollout/rollout_client.cpp
@@ -102,8 +102,8 @@
   http::Event event;
   while (!cancellation.isCancelled()) {
     const auto taken = http::takeEvent(received, event);
-    if (taken == http::Taken::none) return net::ErrorCode::none;
-    if (taken == http::Taken::unreadable) return net::ErrorCode::unreadable;
+    if (taken == http::EventStatus::incomplete) return net::ErrorCode::none;
+    if (taken == http::EventStatus::malformed) return net::ErrorCode::unreadable;
     if (handleEvent(event) == EventResult::unreadable) return net::ErrorCode::unreadable;
     cancelOlderStreams(number);
   }
--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -165,7 +165,7 @@
   for (int encryptionRequests = 0;;) {
     pg::Startup startup;
     const auto parsed = pg::parseStartup(buffer_.view(), startup);
-    if (parsed == pg::Parsed::more) {
+    if (parsed == pg::ParseStatus::incomplete) {
       auto error = co_await socket_->read(buffer_, deadline);
       if (error == ErrorCode::cancelled) error = co_await readFinalMessage(kNoMessageStarted);
       const bool isClosed = closeToken_.isCancelled() && error == ErrorCode::timedOut;
@@ -174,15 +174,16 @@
       lastReadAt_ = listener_.sched_.now();
       continue;
     }
-    const bool isUnusable = parsed == pg::Parsed::bad || startup.kind == pg::Opening::unknown;
+    const bool isUnusable = parsed == pg::ParseStatus::malformed ||
+                            startup.kind == pg::FirstPacketKind::unknown;
     if (isUnusable || encryptionRequests > kMaxEncryptionRequests) {
       co_await failConnection("invalid startup message: protocol version 3 is required");
       co_return SessionFlow::end;
     }
     // A CancelRequest closes the connection without an answer; there is no query that it could cancel.
-    if (startup.kind == pg::Opening::cancel) co_return SessionFlow::end;
+    if (startup.kind == pg::FirstPacketKind::cancelRequest) co_return SessionFlow::end;
     buffer_.consume(startup.size);
-    if (startup.kind == pg::Opening::encryption) {
+    if (startup.kind == pg::FirstPacketKind::encryptionRequest) {
       ++encryptionRequests;
       replies_.tail() += 'N';
       const auto client = co_await flush();
@@ -190,9 +191,9 @@
       continue;
     }
     auto &out = replies_.tail();
-    if (startup.minor > 0) pg::addOldestMinor(out);
-    pg::addWelcome(out, number_, number_ * 2654435761u);
-    pg::addReady(out);
+    if (startup.minor > 0) pg::addNegotiateProtocolVersion(out);
+    pg::addSessionStart(out, number_, number_ * 2654435761u);
+    pg::addReadyForQuery(out);
     co_return SessionFlow::proceed;
   }
 }
@@ -202,8 +203,8 @@
 net::Task<SessionFlow> ClientSession::nextMessage(pg::Message &out) {
   for (Nanoseconds messageDeadline = kNoMessageStarted;;) {
     const auto parsed = pg::parseMessage(buffer_.view(), out);
-    if (parsed == pg::Parsed::whole) co_return SessionFlow::proceed;
-    if (parsed == pg::Parsed::bad) {
+    if (parsed == pg::ParseStatus::complete) co_return SessionFlow::proceed;
+    if (parsed == pg::ParseStatus::malformed) {
       co_await failConnection("message length is invalid or above the limit");
       co_return SessionFlow::end;
     }
--- a/src/downstream/client_session_messages.cpp
+++ b/src/downstream/client_session_messages.cpp
@@ -10,7 +10,7 @@
   listener_.countClientError(message);
   auto &out = replies_.tail();
   pg::addError(out, {"ERROR", code, message});
-  if (ready == ReadyForQuery::atOnce) pg::addReady(out);
+  if (ready == ReadyForQuery::atOnce) pg::addReadyForQuery(out);
 }
 
 net::Task<SessionFlow> ClientSession::handleMessage(pg::Message message) {
@@ -25,7 +25,7 @@
   switch (message.type) {
   case 'Q': {
     std::string_view body = message.body, sql;
-    const bool isComplete = pg::takeText(body, sql) && body.empty();
+    const bool isComplete = pg::takeCString(body, sql) && body.empty();
     if (!isComplete) {
       co_await failConnection("a Query message must contain exactly one zero-terminated string");
       co_return SessionFlow::end;
@@ -38,7 +38,7 @@
   }
   case 'S': {
     isSkippingToSync_ = false;
-    pg::addReady(replies_.tail());
+    pg::addReadyForQuery(replies_.tail());
     co_return SessionFlow::proceed;
   }
   case 'd':
@@ -75,27 +75,27 @@
     const auto &routes = listener_.routes_;
     const auto at = std::find(routes.begin(), routes.end(), statement.route);
     if (at == routes.end())
-      return replyWithError(statement.code, "unknown route in field c of the request comment");
+      return replyWithError(statement.sqlState, "unknown route in field c of the request comment");
     return startRequest(statement, static_cast<int>(at - routes.begin()));
   }
   case pg::Statement::malformed:
-    return replyWithError(statement.code, statement.complaint);
+    return replyWithError(statement.sqlState, statement.errorMessage);
   case pg::Statement::empty:
-    pg::addEmptyAnswer(out);
+    pg::addEmptyQueryResponse(out);
     break;
   case pg::Statement::ping:
     pg::addRow(out, "?column?", "1");
-    pg::addComplete(out, "SELECT 1");
+    pg::addCommandComplete(out, "SELECT 1");
     break;
   case pg::Statement::session: {
     std::string tag(statement.verb);
     std::transform(tag.begin(), tag.end(), tag.begin(),
                    [](char c) { return static_cast<char>(c - 'a' + 'A'); });
-    pg::addComplete(out, tag == "DISCARD" ? "DISCARD ALL" : tag);
+    pg::addCommandComplete(out, tag == "DISCARD" ? "DISCARD ALL" : tag);
     break;
   }
   }
-  pg::addReady(out);
+  pg::addReadyForQuery(out);
   phase_ = Phase::used;
 }
 
--- a/src/downstream/client_session_requests.cpp
+++ b/src/downstream/client_session_requests.cpp
@@ -32,7 +32,7 @@
   auto &request = requests_.emplace_back();
   const auto self = std::prev(requests_.end());
   request.text = parsed.text;
-  request.statement = pg::movedTo(parsed, request.text);
+  request.statement = pg::rebindStatement(parsed, request.text);
   request.route = route;
   request.arrivedAt = lastReadAt_;
   request.memory = std::move(memory_);
@@ -81,14 +81,14 @@
 
 Nanoseconds ClientSession::clientTimeout(const Request &request) const {
   const auto routeTimeout = listener_.routeTimeouts_[static_cast<std::size_t>(request.route)];
-  return std::min(request.statement.patienceMs * kMillisecond, routeTimeout);
+  return std::min(request.statement.timeoutMs * kMillisecond, routeTimeout);
 }
 
 net::Task<> ClientSession::attemptRequest(Request &request) {
   auto &router = listener_.router_;
   const auto &statement = request.statement;
   auto &reply = *request.reply;
-  RequestContext context(request.route, statement.key, clientTimeout(request), statement.repeat,
+  RequestContext context(request.route, statement.rowKeyNumber, clientTimeout(request), statement.isRetry,
                          request.arrivedAt);
   auto decision = co_await router.nextAttempt(context, clientGone_);
   while (decision.action == AttemptDecision::forward) {
@@ -133,7 +133,7 @@
 // finished request is still running.
 void ClientSession::finishRequest(Requests::iterator self) {
   finishedRequests_.splice(finishedRequests_.end(), requests_, self);
-  pg::addReady(self->reply->text);
+  pg::addReadyForQuery(self->reply->text);
   self->reply->isComplete = true;
   self->memory.release();
   listener_.pipeliningLimits_.release(self->ticket);
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -37,7 +37,8 @@
                    std::vector<std::string> routes, std::vector<Nanoseconds> routeTimeouts,
                    std::size_t messageMemory)
     : sched_(sched), budget_(budget), router_(router), pool_(pool), log_(log), routes_(std::move(routes)),
-      routeTimeouts_(std::move(routeTimeouts)), messageMemory_(std::max(messageMemory, 4 * pg::kMostBytes)),
+      routeTimeouts_(std::move(routeTimeouts)),
+      messageMemory_(std::max(messageMemory, 4 * pg::kMaxClientMessageBytes)),
       socket_(net::listenTcp(sched, budget, address)),
       pipeliningLimits_(budget.limit() / kRequestCapacityDivisor) {}
 
--- a/src/format/dns/message.cpp
+++ b/src/format/dns/message.cpp
@@ -30,7 +30,7 @@
     if (here >= bytes.size()) return false;
     const auto c = static_cast<unsigned char>(bytes[here]);
     if (c >= 0xc0) {
-      if (here + 1 >= bytes.size() || ++hops > kMostHops) return false;
+      if (here + 1 >= bytes.size() || ++hops > kMaxPointersPerName) return false;
       const std::size_t to = word16(bytes, here) & 0x3fff;
       if (to >= here) return false; // RFC 1035 section 4.1.4: a prior occurrence
       if (!jumped) at = here + 2;
@@ -79,7 +79,7 @@
     if (!out.text.empty()) out.text += ' ';
     out.text.append(reinterpret_cast<const char *>(data) + 1, data[0]);
   }
-  if (out.text.size() > kMostText) out.text.resize(kMostText);
+  if (out.text.size() > kMaxTxtBytes) out.text.resize(kMaxTxtBytes);
   return true;
 }
 
@@ -93,7 +93,7 @@
   const auto owner = nameOf(ldns_rr_owner(rr));
   if (!owner) return true; // nobody has asked for it
   r.owner = *owner;
-  r.ttl = ldns_rr_ttl(rr) > kMostTtl ? 0 : ldns_rr_ttl(rr);
+  r.ttl = ldns_rr_ttl(rr) > kMaxTtlSeconds ? 0 : ldns_rr_ttl(rr);
   switch (r.type) {
   case Type::a:
   case Type::aaaa: {
@@ -139,7 +139,7 @@
     if (ldns_rr_get_type(rr) != LDNS_RR_TYPE_SOA || !holds(rr, 7)) continue;
     const auto minimum = ldns_rdf2native_int32(ldns_rr_rdf(rr, 6));
     const auto ttl = std::min<std::uint32_t>(ldns_rr_ttl(rr), minimum);
-    out.denialSeconds = ttl > kMostTtl ? 0 : ttl;
+    out.negativeTtlSeconds = ttl > kMaxTtlSeconds ? 0 : ttl;
     return;
   }
 }
@@ -151,7 +151,7 @@
   case LDNS_RCODE_NXDOMAIN:
     return Status::noSuchName;
   case LDNS_RCODE_SERVFAIL:
-    return Status::failed;
+    return Status::serverFailure;
   case LDNS_RCODE_REFUSED:
     return Status::refused;
   default:
@@ -160,7 +160,7 @@
 }
 
 // The question's name on the wire, letters by the query's case.
-std::string wireName(const Sent &sent) {
+std::string wireName(const SentQuery &sent) {
   std::string out;
   std::size_t letter = 0;
   std::string_view rest = sent.question.name;
@@ -182,7 +182,7 @@
 
 } // namespace
 
-const char *word(Type type) {
+const char *typeName(Type type) {
   switch (type) {
   case Type::a:
     return "A";
@@ -200,7 +200,7 @@
   return "?";
 }
 
-std::optional<std::string> canonical(std::string_view name) {
+std::optional<std::string> canonicalName(std::string_view name) {
   if (name.ends_with('.')) name.remove_suffix(1);
   std::string out;
   std::size_t label = 0;
@@ -215,14 +215,14 @@
   return out;
 }
 
-std::string writeQuery(const Sent &sent) {
+std::string writeQuery(const SentQuery &sent) {
   std::unique_ptr<ldns_rdf, Free> name(
       ldns_rdf_new_frm_data(LDNS_RDF_TYPE_DNAME, wireName(sent).size(), wireName(sent).data()));
   Packet pkt(ldns_pkt_query_new(name.release(), static_cast<ldns_rr_type>(sent.question.type),
                                 LDNS_RR_CLASS_IN, LDNS_RD));
   if (pkt == nullptr) throw std::invalid_argument("not a question: " + sent.question.name);
   ldns_pkt_set_id(pkt.get(), sent.id);
-  ldns_pkt_set_edns_udp_size(pkt.get(), kUdpSize);
+  ldns_pkt_set_edns_udp_size(pkt.get(), kUdpPayloadBytes);
   std::uint8_t *bytes = nullptr;
   std::size_t size = 0;
   if (ldns_pkt2wire(&bytes, pkt.get(), &size) != LDNS_STATUS_OK)
@@ -231,8 +231,8 @@
   return {reinterpret_cast<const char *>(bytes), size};
 }
 
-bool sound(std::string_view bytes) {
-  if (bytes.size() < 12 || bytes.size() > kMostMessage) return false;
+bool isWellFormed(std::string_view bytes) {
+  if (bytes.size() < 12 || bytes.size() > kMaxMessageBytes) return false;
   std::size_t at = 12, records = 0;
   for (std::size_t i = word16(bytes, 4); i > 0; --i) {
     if (!skipName(bytes, at) || at + 4 > bytes.size()) return false;
@@ -254,10 +254,10 @@
   return at == bytes.size();
 }
 
-Reading readAnswer(std::string_view bytes, const Sent &sent, Message &out) {
-  if (bytes.size() < 12) return Reading::unreadable;
+ReadResult readResponse(std::string_view bytes, const SentQuery &sent, Message &out) {
+  if (bytes.size() < 12) return ReadResult::malformed;
   if (word16(bytes, 0) != sent.id || (word16(bytes, 2) & 0xf800) != 0x8000 || word16(bytes, 4) != 1)
-    return Reading::foreign; // another query's, no answer, or of another kind
+    return ReadResult::unrelated; // another query's, no answer, or of another kind
   auto asked = wireName(sent);
   const auto type = static_cast<std::uint16_t>(sent.question.type);
   for (const int c : {type >> 8, type & 0xff, 0, 1}) asked += static_cast<char>(c);
@@ -265,20 +265,20 @@
   const auto fold = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 0x20) : c; };
   if (!std::equal(is.begin(), is.end(), asked.begin(), asked.end(),
                   [&](char a, char b) { return fold(a) == fold(b); }))
-    return Reading::foreign;
-  const auto ours = is == asked ? Reading::answer : Reading::folded;
+    return ReadResult::unrelated;
+  const auto ours = is == asked ? ReadResult::accepted : ReadResult::caseMismatch;
   out = {};
   out.truncated = (word16(bytes, 2) & 0x0200) != 0;
   if (out.truncated) return ours; // cut anywhere: it only says that it is to be asked for over TCP
-  if (!sound(bytes)) return Reading::unreadable;
+  if (!isWellFormed(bytes)) return ReadResult::malformed;
   ldns_pkt *raw = nullptr;
   const auto read = ldns_wire2pkt(&raw, reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
   Packet pkt(raw);
-  if (read != LDNS_STATUS_OK) return Reading::unreadable;
+  if (read != LDNS_STATUS_OK) return ReadResult::malformed;
   out.status = statusOf(ldns_pkt_get_rcode(pkt.get()));
   if (!readSection(ldns_pkt_answer(pkt.get()), out.answers) ||
       !readSection(ldns_pkt_additional(pkt.get()), out.additional))
-    return Reading::unreadable;
+    return ReadResult::malformed;
   readDenial(ldns_pkt_authority(pkt.get()), out);
   return ours;
 }
--- a/src/format/http/event_stream.cpp
+++ b/src/format/http/event_stream.cpp
@@ -46,22 +46,23 @@
   return true;
 }
 
-Taken takeEvent(std::string &text, Event &out) {
+EventStatus takeEvent(std::string &text, Event &out) {
   for (;;) {
-    if (!hasWholeEvent(text)) return text.size() > kMaxEventBytes ? Taken::unreadable : Taken::none;
+    if (!hasWholeEvent(text))
+      return text.size() > kMaxEventBytes ? EventStatus::malformed : EventStatus::incomplete;
     out = {};
     std::string lineText;
     bool hasData = false;
     while (takeLine(text, lineText) && !lineText.empty()) {
       const auto line = parseLine(lineText);
-      if (!isKnownName(line.name)) return Taken::unreadable;
+      if (!isKnownName(line.name)) return EventStatus::malformed;
       if (line.name == "event") out.name = line.value;
       if (line.name != "data") continue;
       if (hasData) out.data += '\n';
       out.data += line.value;
       hasData = true;
     }
-    if (hasData) return Taken::event; // one without data is no event
+    if (hasData) return EventStatus::event; // one without data is no event
   }
 }
 
--- a/src/format/http/event_stream.h
+++ b/src/format/http/event_stream.h
@@ -12,9 +12,9 @@
 
 // none: no event is there in full; unreadable: a line that no event stream has, or an event that does not
 // end.
-enum class Taken { none, event, unreadable };
+enum class EventStatus { incomplete, event, malformed };
 // Takes the first event that has data.
-Taken takeEvent(std::string &text, Event &out);
+EventStatus takeEvent(std::string &text, Event &out);
 
 // Takes one line, without its end; false: none is there in full.
 bool takeLine(std::string &text, std::string &line);
--- a/src/format/http/http.cpp
+++ b/src/format/http/http.cpp
@@ -28,10 +28,11 @@
 }
 
 // Any head: its first line, and the fields behind it.
-Parsed parseHead(std::string_view in, std::string &firstLine, Head &out, std::size_t &size) {
+ParseStatus parseHead(std::string_view in, std::string &firstLine, Head &out, std::size_t &size) {
   const auto end = in.find("\r\n\r\n");
-  if (end == std::string_view::npos) return in.size() > kMaxHeadBytes ? Parsed::bad : Parsed::more;
-  if (end > kMaxHeadBytes) return Parsed::bad;
+  if (end == std::string_view::npos)
+    return in.size() > kMaxHeadBytes ? ParseStatus::malformed : ParseStatus::incomplete;
+  if (end > kMaxHeadBytes) return ParseStatus::malformed;
   size = end + 4;
   out.fields.clear();
   auto rest = in.substr(0, end + 2);
@@ -45,10 +46,10 @@
     }
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || colon == 0 || line[0] == ' ' || line[0] == '\t')
-      return Parsed::bad;
+      return ParseStatus::malformed;
     out.fields.emplace_back(lowerCase(line.substr(0, colon)), trimmed(line.substr(colon + 1)));
   }
-  return Parsed::whole;
+  return ParseStatus::complete;
 }
 
 } // namespace
@@ -62,64 +63,68 @@
 
 std::string_view Head::field(std::string_view name) const { return value(fields, name); }
 
-Parsed parseRequest(std::string_view in, Head &out, std::size_t &size) {
+ParseStatus parseRequest(std::string_view in, Head &out, std::size_t &size) {
   std::string line;
   const auto parsed = parseHead(in, line, out, size);
-  if (parsed != Parsed::whole) return parsed;
+  if (parsed != ParseStatus::complete) return parsed;
   const auto methodEnd = line.find(' ');
   const auto targetEnd = line.rfind(' ');
   if (methodEnd == std::string::npos || methodEnd == targetEnd ||
       line.compare(targetEnd + 1, kVersion.size(), kVersion) != 0)
-    return Parsed::bad;
+    return ParseStatus::malformed;
   out.method = line.substr(0, methodEnd);
   out.target = line.substr(methodEnd + 1, targetEnd - methodEnd - 1);
-  return Parsed::whole;
+  return ParseStatus::complete;
 }
 
-Parsed parseAnswer(std::string_view in, Head &out, std::size_t &size) {
+ParseStatus parseResponse(std::string_view in, Head &out, std::size_t &size) {
   std::string firstLine;
   const auto parsed = parseHead(in, firstLine, out, size);
-  if (parsed != Parsed::whole) return parsed;
+  if (parsed != ParseStatus::complete) return parsed;
   const std::string_view line = firstLine; // "HTTP/1.1 200 OK"
   if (line.substr(0, kVersion.size()) != kVersion || line.size() < 12 || line[8] != ' ' ||
       !parseNumber(line.substr(9, 3), out.status) || (line.size() > 12 && line[12] != ' ') ||
       out.status < 100)
-    return Parsed::bad;
-  return Parsed::whole;
+    return ParseStatus::malformed;
+  return ParseStatus::complete;
 }
 
-Body::Body(const Head &head, bool request) {
+BodyDecoder::BodyDecoder(const Head &head, bool isRequest) {
   const auto size = head.field("content-length");
   if (!head.field("transfer-encoding").empty())
-    form_ = lowerCase(head.field("transfer-encoding")) == "chunked" ? chunked : malformed;
+    framing_ = lowerCase(head.field("transfer-encoding")) == "chunked" ? chunked : malformed;
   else if (!size.empty())
-    form_ = parseNumber(size, left_) && left_ <= kMaxBodyBytes ? length : malformed;
-  else if (!request && head.status != 204 && head.status != 304)
-    form_ = toEnd;
+    framing_ = parseNumber(size, remainingBytes_) && remainingBytes_ <= kMaxBodyBytes ? fixedLength
+                                                                                      : malformed;
+  else if (!isRequest && head.status != 204 && head.status != 304)
+    framing_ = untilClose;
 }
 
 // The lines between chunks: a size, the end of the data, the trailers.
-Parsed Body::chunkLine(std::string_view in, std::size_t &used) {
+ParseStatus BodyDecoder::decodeChunkLine(std::string_view in, std::size_t &used) {
   const auto end = in.find("\r\n");
-  if (end == std::string_view::npos) return in.size() > kMaxChunkLineBytes ? Parsed::bad : Parsed::more;
+  if (end == std::string_view::npos)
+    return in.size() > kMaxChunkLineBytes ? ParseStatus::malformed : ParseStatus::incomplete;
   const auto line = in.substr(0, end);
   used = end + 2;
-  if (place_ == dataEnd) {
-    place_ = sizeLine;
-    return line.empty() ? Parsed::whole : Parsed::bad;
+  if (chunkState_ == dataEnd) {
+    chunkState_ = sizeLine;
+    return line.empty() ? ParseStatus::complete : ParseStatus::malformed;
   }
-  if (place_ == trailer) return Parsed::whole;
-  if (!parseNumber(trimmed(line.substr(0, line.find(';'))), left_, 16) || left_ > kMaxBodyBytes)
-    return Parsed::bad;
-  place_ = left_ == 0 ? trailer : data;
-  return Parsed::whole;
+  if (chunkState_ == trailer) return ParseStatus::complete;
+  if (!parseNumber(trimmed(line.substr(0, line.find(';'))), remainingBytes_, 16) ||
+      remainingBytes_ > kMaxBodyBytes)
+    return ParseStatus::malformed;
+  chunkState_ = remainingBytes_ == 0 ? trailer : data;
+  return ParseStatus::complete;
 }
 
 namespace {
 
 // Moves at most `most` bytes from behind the first `used` of `in` to `content`; returns how many.
-std::size_t copyBytes(std::string_view in, std::uint64_t most, std::string &content, std::size_t &used) {
-  const auto count = static_cast<std::size_t>(std::min<std::uint64_t>(most, in.size() - used));
+std::size_t appendBytes(std::string_view in, std::uint64_t maxBytes, std::string &content,
+                        std::size_t &used) {
+  const auto count = static_cast<std::size_t>(std::min<std::uint64_t>(maxBytes, in.size() - used));
   content += in.substr(used, count);
   used += count;
   return count;
@@ -127,38 +132,38 @@
 
 } // namespace
 
-Parsed Body::take(std::string_view in, std::string &content, std::size_t &used) {
+ParseStatus BodyDecoder::decode(std::string_view in, std::string &content, std::size_t &used) {
   used = 0;
-  switch (form_) {
+  switch (framing_) {
   case malformed:
-    return Parsed::bad;
-  case toEnd:
-    copyBytes(in, in.size(), content, used);
-    return Parsed::more;
-  case length:
-    left_ -= copyBytes(in, left_, content, used);
-    return left_ == 0 ? Parsed::whole : Parsed::more;
+    return ParseStatus::malformed;
+  case untilClose:
+    appendBytes(in, in.size(), content, used);
+    return ParseStatus::incomplete;
+  case fixedLength:
+    remainingBytes_ -= appendBytes(in, remainingBytes_, content, used);
+    return remainingBytes_ == 0 ? ParseStatus::complete : ParseStatus::incomplete;
   case chunked:
     break;
   }
-  return takeChunks(in, content, used);
+  return decodeChunks(in, content, used);
 }
 
-Parsed Body::takeChunks(std::string_view in, std::string &content, std::size_t &used) {
+ParseStatus BodyDecoder::decodeChunks(std::string_view in, std::string &content, std::size_t &used) {
   constexpr std::size_t kBlankLine = 2;
   for (;;) {
-    if (place_ == data) {
-      left_ -= copyBytes(in, left_, content, used);
-      if (left_ > 0) return Parsed::more;
-      place_ = dataEnd;
+    if (chunkState_ == data) {
+      remainingBytes_ -= appendBytes(in, remainingBytes_, content, used);
+      if (remainingBytes_ > 0) return ParseStatus::incomplete;
+      chunkState_ = dataEnd;
       continue;
     }
-    const bool isTrailer = place_ == trailer;
+    const bool isTrailer = chunkState_ == trailer;
     std::size_t lineSize = 0;
-    const auto parsed = chunkLine(in.substr(used), lineSize);
-    if (parsed != Parsed::whole) return parsed;
+    const auto parsed = decodeChunkLine(in.substr(used), lineSize);
+    if (parsed != ParseStatus::complete) return parsed;
     used += lineSize;
-    if (isTrailer && lineSize == kBlankLine) return Parsed::whole;
+    if (isTrailer && lineSize == kBlankLine) return ParseStatus::complete;
   }
 }
 
--- a/src/format/http/http.h
+++ b/src/format/http/http.h
@@ -11,7 +11,7 @@
 namespace myrtlehead::http {
 
 // more: not all of it is there yet; whole: it was parsed; bad: it can't be, whatever follows.
-enum class Parsed { more, whole, bad };
+enum class ParseStatus { incomplete, complete, malformed };
 
 struct Head {
   std::string method;                                  // of a request
@@ -21,25 +21,25 @@
   std::string_view field(std::string_view name) const; // "" where there is none
 };
 // Parse the head at the front of `in`. `size`: its bytes, with the blank line behind it.
-Parsed parseRequest(std::string_view in, Head &out, std::size_t &size);
-Parsed parseAnswer(std::string_view in, Head &out, std::size_t &size);
+ParseStatus parseRequest(std::string_view in, Head &out, std::size_t &size);
+ParseStatus parseResponse(std::string_view in, Head &out, std::size_t &size);
 
 // The body behind a head: by its length, in chunks, or up to the connection's end.
-class Body {
+class BodyDecoder {
 public:
-  explicit Body(const Head &head, bool request = false);
-  Body() = default; // an empty one
+  explicit BodyDecoder(const Head &head, bool isRequest = false);
+  BodyDecoder() = default; // an empty one
   // Takes what it can off the front of `in` and appends it to `content`. `used`: how many bytes of `in`. A
   // body up to the connection's end is never whole.
-  Parsed take(std::string_view in, std::string &content, std::size_t &used);
-  bool untilEnd() const { return form_ == toEnd; } // of the connection
+  ParseStatus decode(std::string_view in, std::string &content, std::size_t &used);
+  bool endsWithConnection() const { return framing_ == untilClose; } // of the connection
 
 private:
-  Parsed chunkLine(std::string_view in, std::size_t &used);
-  Parsed takeChunks(std::string_view in, std::string &content, std::size_t &used);
-  enum Form { length, chunked, toEnd, malformed } form_ = length;
-  enum Place { sizeLine, data, dataEnd, trailer } place_ = sizeLine;
-  std::uint64_t left_ = 0; // bytes of the body or the chunk
+  ParseStatus decodeChunkLine(std::string_view in, std::size_t &used);
+  ParseStatus decodeChunks(std::string_view in, std::string &content, std::size_t &used);
+  enum Framing { fixedLength, chunked, untilClose, malformed } framing_ = fixedLength;
+  enum ChunkState { sizeLine, data, dataEnd, trailer } chunkState_ = sizeLine;
+  std::uint64_t remainingBytes_ = 0; // bytes of the body or the chunk
 };
 
 // With a form as its body, where one is given.
--- a/src/format/json/json.h
+++ b/src/format/json/json.h
@@ -11,8 +11,8 @@
 
 struct Value {
   enum Kind { null, boolean, number, string, array, object } kind = null;
-  bool truth = false;                                // of a boolean
-  double real = 0;                                   // of a number
+  bool boolValue = false;                            // of a boolean
+  double numberValue = 0;                            // of a number
   std::string text;                                  // of a string, or of a number as it was written
   std::vector<Value> items;                          // of an array
   std::vector<std::pair<std::string, Value>> fields; // of an object
--- a/src/format/pg/message.cpp
+++ b/src/format/pg/message.cpp
@@ -38,35 +38,35 @@
 
 } // namespace
 
-Parsed parseMessage(std::string_view in, Message &out, std::size_t most) {
-  if (in.size() < kHeaderBytes) return Parsed::more;
+ParseStatus parseMessage(std::string_view in, Message &out, std::size_t maxBytes) {
+  if (in.size() < kHeaderBytes) return ParseStatus::incomplete;
   const std::size_t length = readInt32(in.substr(1));
-  if (length < kLengthBytes || length > most) return Parsed::bad;
-  if (in.size() < length + 1) return Parsed::more;
+  if (length < kLengthBytes || length > maxBytes) return ParseStatus::malformed;
+  if (in.size() < length + 1) return ParseStatus::incomplete;
   out = {in[0], in.substr(kHeaderBytes, length - kLengthBytes), length + 1};
-  return Parsed::whole;
+  return ParseStatus::complete;
 }
 
 std::size_t announcedSize(std::string_view in) {
   return in.size() < kHeaderBytes ? 0 : readInt32(in.substr(1)) + std::size_t{1};
 }
 
-Parsed parseStartup(std::string_view in, Startup &out) {
-  if (in.size() < kLengthBytes) return Parsed::more;
+ParseStatus parseStartup(std::string_view in, Startup &out) {
+  if (in.size() < kLengthBytes) return ParseStatus::incomplete;
   const std::size_t length = readInt32(in);
-  if (length < kMinStartupBytes || length > kMaxStartupBytes) return Parsed::bad;
-  if (in.size() < length) return Parsed::more;
+  if (length < kMinStartupBytes || length > kMaxStartupBytes) return ParseStatus::malformed;
+  if (in.size() < length) return ParseStatus::incomplete;
   const auto code = readInt32(in.substr(kLengthBytes));
   out.size = length;
   out.minor = static_cast<int>(code & 0xffff);
-  out.kind = code == kSslRequest || code == kGssRequest ? Opening::encryption
-             : code == kCancelRequest                   ? Opening::cancel
-             : code >> 16 == kProtocolVersion >> 16     ? Opening::startup
-                                                        : Opening::unknown;
-  return Parsed::whole;
+  out.kind = code == kSslRequest || code == kGssRequest ? FirstPacketKind::encryptionRequest
+             : code == kCancelRequest                   ? FirstPacketKind::cancelRequest
+             : code >> 16 == kProtocolVersion >> 16     ? FirstPacketKind::startup
+                                                        : FirstPacketKind::unknown;
+  return ParseStatus::complete;
 }
 
-bool takeText(std::string_view &body, std::string_view &text) {
+bool takeCString(std::string_view &body, std::string_view &text) {
   const auto end = body.find('\0');
   if (end == std::string_view::npos) return false;
   text = body.substr(0, end);
@@ -76,7 +76,7 @@
 
 namespace {
 
-constexpr int kMaxAsides = 32;                    // notices and parameters for one answer
+constexpr int kMaxAsynchronousMessages = 32;      // notices and parameters for one answer
 constexpr std::size_t kMaxSmallBytes = 16 * 1024; // of a message without a value
 constexpr std::size_t kMaxTagBytes = 64;
 constexpr std::size_t kColumnBytes = 18;   // of a RowDescription, behind the name
@@ -88,7 +88,7 @@
   std::string_view name;
   if (body.substr(0, 2) != kOneColumn) return false;
   body.remove_prefix(2);
-  return takeText(body, name) && body.size() == kColumnBytes;
+  return takeCString(body, name) && body.size() == kColumnBytes;
 }
 
 bool hasOneValue(std::string_view body) {
@@ -99,7 +99,7 @@
 // One printable text.
 bool isTag(std::string_view body) {
   std::string_view text;
-  if (!takeText(body, text) || !body.empty() || text.empty()) return false;
+  if (!takeCString(body, text) || !body.empty() || text.empty()) return false;
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
 
@@ -110,31 +110,33 @@
   while (!body.empty() && body[0] != '\0') {
     const char type = body[0];
     body.remove_prefix(1);
-    if (!takeText(body, text)) return false;
+    if (!takeCString(body, text)) return false;
     if (type == 'C') hasCode = text.size() == kSqlStateLength;
   }
   return hasCode && body.size() == 1;
 }
 
-std::size_t maxBodyBytes(Reply::Part part) {
-  if (part == Reply::row) return kMostRow;
-  return part == Reply::complete || part == Reply::ready || part == Reply::empty ? kMaxTagBytes
-                                                                                 : kMaxSmallBytes;
+std::size_t maxBodyBytes(ReplyValidator::MessageKind kind) {
+  if (kind == ReplyValidator::dataRow) return kMaxRowBytes;
+  return kind == ReplyValidator::commandComplete || kind == ReplyValidator::readyForQuery ||
+                 kind == ReplyValidator::emptyQuery
+             ? kMaxTagBytes
+             : kMaxSmallBytes;
 }
 
-bool hasFormOf(Reply::Part part, std::string_view body) {
-  switch (part) {
-  case Reply::description:
+bool isValidBody(ReplyValidator::MessageKind kind, std::string_view body) {
+  switch (kind) {
+  case ReplyValidator::rowDescription:
     return describesOneColumn(body);
-  case Reply::row:
+  case ReplyValidator::dataRow:
     return hasOneValue(body);
-  case Reply::complete:
+  case ReplyValidator::commandComplete:
     return isTag(body);
-  case Reply::error:
+  case ReplyValidator::errorResponse:
     return isErrorBody(body);
-  case Reply::ready:
+  case ReplyValidator::readyForQuery:
     return body == "I";
-  case Reply::empty:
+  case ReplyValidator::emptyQuery:
     return body.empty();
   default:
     return true;
@@ -143,55 +145,55 @@
 
 } // namespace
 
-Reply::Part Reply::partOf(char type) const {
+ReplyValidator::MessageKind ReplyValidator::kindOf(char type) const {
   switch (type) {
   case 'S':
   case 'N':
-    return aside;
+    return asynchronous;
   case 'T':
-    return expected_ == anything ? description : bad;
+    return expected_ == replyStart ? rowDescription : unexpected;
   case 'D':
-    return expected_ == rowDue ? row : bad;
+    return expected_ == rowExpected ? dataRow : unexpected;
   case 'C':
-    return expected_ == completeDue ? complete : bad;
+    return expected_ == completionExpected ? commandComplete : unexpected;
   case 'E':
-    return expected_ != readyDue ? error : bad;
+    return expected_ != readyExpected ? errorResponse : unexpected;
   case 'I':
-    return expected_ == anything ? empty : bad;
+    return expected_ == replyStart ? emptyQuery : unexpected;
   case 'Z':
-    return expected_ == readyDue ? ready : bad;
+    return expected_ == readyExpected ? readyForQuery : unexpected;
   }
-  return bad;
+  return unexpected;
 }
 
-Reply::Expected Reply::after(Part part) const {
-  switch (part) {
-  case description:
-    return rowDue;
-  case row:
-    return completeDue;
-  case ready:
-    return anything;
-  case aside:
+ReplyValidator::Expected ReplyValidator::expectedAfter(MessageKind kind) const {
+  switch (kind) {
+  case rowDescription:
+    return rowExpected;
+  case dataRow:
+    return completionExpected;
+  case readyForQuery:
+    return replyStart;
+  case asynchronous:
     return expected_;
   default:
-    return readyDue;
+    return readyExpected;
   }
 }
 
 // Guards against noise, lengths that don't fit and values that never end: a message is rejected by its type
 // and its announced size, before its rest is waited for or stored.
-Reply::Part Reply::next(std::string_view in, Message &out) {
-  if (in.empty()) return more;
-  const auto part = partOf(in[0]);
-  if (part == bad || announcedSize(in) > maxBodyBytes(part) + kHeaderBytes) return bad;
-  const auto parsed = parseMessage(in, out, kMostRow);
-  if (parsed == Parsed::more) return more;
-  if (parsed == Parsed::bad || !hasFormOf(part, out.body)) return bad;
-  if (part == aside && ++asides_ > kMaxAsides) return bad;
-  if (part == ready) asides_ = 0;
-  expected_ = after(part);
-  return part;
+ReplyValidator::MessageKind ReplyValidator::next(std::string_view in, Message &out) {
+  if (in.empty()) return incomplete;
+  const auto kind = kindOf(in[0]);
+  if (kind == unexpected || announcedSize(in) > maxBodyBytes(kind) + kHeaderBytes) return unexpected;
+  const auto parsed = parseMessage(in, out, kMaxRowBytes);
+  if (parsed == ParseStatus::incomplete) return incomplete;
+  if (parsed == ParseStatus::malformed || !isValidBody(kind, out.body)) return unexpected;
+  if (kind == asynchronous && ++asynchronousMessages_ > kMaxAsynchronousMessages) return unexpected;
+  if (kind == readyForQuery) asynchronousMessages_ = 0;
+  expected_ = expectedAfter(kind);
+  return kind;
 }
 
 std::string_view errorCode(std::string_view body) {
@@ -199,7 +201,7 @@
     const char field = body[0];
     std::string_view text;
     body.remove_prefix(1);
-    if (!takeText(body, text)) break;
+    if (!takeCString(body, text)) break;
     if (field == 'C') return text;
   }
   return {};
@@ -229,7 +231,7 @@
   addText(out, sql);
 }
 
-void addWelcome(std::string &out, std::uint32_t process, std::uint32_t secret) {
+void addSessionStart(std::string &out, std::uint32_t process, std::uint32_t secret) {
   std::string body;
   addInt32(body, 0);
   addMessage(out, 'R', body); // AuthenticationOk
@@ -251,18 +253,18 @@
   addMessage(out, 'K', body);
 }
 
-void addOldestMinor(std::string &out) {
+void addNegotiateProtocolVersion(std::string &out) {
   std::string body;
   addInt32(body, kProtocolVersion);
   addInt32(body, 0);
   addMessage(out, 'v', body);
 }
 
-void addReady(std::string &out) { addMessage(out, 'Z', "I"); }
+void addReadyForQuery(std::string &out) { addMessage(out, 'Z', "I"); }
 
-void addEmptyAnswer(std::string &out) { addMessage(out, 'I', ""); }
+void addEmptyQueryResponse(std::string &out) { addMessage(out, 'I', ""); }
 
-void addComplete(std::string &out, std::string_view tag) {
+void addCommandComplete(std::string &out, std::string_view tag) {
   std::string body;
   addText(body, tag);
   addMessage(out, 'C', body);
@@ -286,18 +288,18 @@
   addMessage(out, 'D', body);
 }
 
-void addError(std::string &out, const Complaint &complaint) {
+void addError(std::string &out, const ErrorFields &fields) {
   std::string body;
   const auto field = [&](char type, std::string_view text) {
     if (text.empty()) return;
     body += type;
     addText(body, text);
   };
-  field('S', complaint.severity);
-  field('V', complaint.severity);
-  field('C', complaint.code);
-  field('M', complaint.message);
-  field('D', complaint.detail);
+  field('S', fields.severity);
+  field('V', fields.severity);
+  field('C', fields.code);
+  field('M', fields.message);
+  field('D', fields.detail);
   body += '\0';
   addMessage(out, 'E', body);
 }
--- a/src/format/pg/statement.cpp
+++ b/src/format/pg/statement.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::int64_t kMaxPatienceMs = 24LL * 3600 * 1000;
+constexpr std::int64_t kMaxTimeoutMs = 24LL * 3600 * 1000;
 constexpr std::size_t kMaxNameLength = 128; // of an id, a route or a key
 
 constexpr const char *kSyntaxError = "42601";
@@ -34,7 +34,7 @@
 }
 
 // The parts of a statement: strings, comments, the words between them.
-struct Outline {
+struct StatementParts {
   bool isClosed = true;              // every string and comment is
   bool hasSeveralStatements = false; // something stands behind a semicolon
   std::string_view comment;          // the last block comment
@@ -75,8 +75,8 @@
   return text.size() + 1;
 }
 
-Outline outlineOf(std::string_view sql) {
-  Outline out;
+StatementParts scanStatement(std::string_view sql) {
+  StatementParts out;
   bool isTerminated = false;
   for (std::size_t i = 0; i < sql.size();) {
     auto end = i + 1;
@@ -177,12 +177,12 @@
   return trimmed(words).empty();
 }
 
-bool parsePatience(std::string_view value, Statement &out) {
+bool parseTimeout(std::string_view value, Statement &out) {
   const auto ms = parseInteger(value);
-  if (!ms || *ms < 0 || *ms > kMaxPatienceMs) return false;
-  out.patienceMs = *ms;
-  out.patienceAt = static_cast<std::size_t>(value.data() - out.text.data());
-  out.patienceSize = value.size();
+  if (!ms || *ms < 0 || *ms > kMaxTimeoutMs) return false;
+  out.timeoutMs = *ms;
+  out.timeoutOffset = static_cast<std::size_t>(value.data() - out.text.data());
+  out.timeoutLength = value.size();
   return true;
 }
 
@@ -191,7 +191,7 @@
 bool parseComment(std::string_view comment, Statement &out) {
   bool hasId = false;
   bool hasRoute = false;
-  bool hasPatience = false;
+  bool hasTimeout = false;
   bool hasKey = false;
   for (auto rest = trimmed(comment);;) {
     const auto comma = std::min(rest.find(','), rest.size());
@@ -207,34 +207,34 @@
       if (std::exchange(hasRoute, true) || !isPlainName(value)) return false;
       out.route = value;
     } else if (name == "d") {
-      if (std::exchange(hasPatience, true) || !parsePatience(value, out)) return false;
+      if (std::exchange(hasTimeout, true) || !parseTimeout(value, out)) return false;
     } else if (name == "k") {
       if (std::exchange(hasKey, true) || !isPlainName(value)) return false;
     } else if (name == "r") {
-      out.repeat = value == "1";
+      out.isRetry = value == "1";
     }
     if (comma == rest.size()) break;
     rest.remove_prefix(comma + 1);
   }
-  return hasId && hasRoute && hasPatience;
+  return hasId && hasRoute && hasTimeout;
 }
 
 // Hexadecimal digits by their value, anything else by its FNV-1a hash; 0 stands for none.
-std::uint64_t keyOf(std::string_view record) {
+std::uint64_t rowKeyNumberOf(std::string_view rowKey) {
   constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
   std::uint64_t value = 0;
-  const auto result = std::from_chars(record.data(), record.data() + record.size(), value, 16);
-  if (result.ec == std::errc{} && result.ptr == record.data() + record.size()) return value;
+  const auto result = std::from_chars(rowKey.data(), rowKey.data() + rowKey.size(), value, 16);
+  if (result.ec == std::errc{} && result.ptr == rowKey.data() + rowKey.size()) return value;
   std::uint64_t hash = kFnvOffset;
-  for (const char c : record) hash = (hash ^ static_cast<std::uint8_t>(c)) * kFnvPrime;
+  for (const char c : rowKey) hash = (hash ^ static_cast<std::uint8_t>(c)) * kFnvPrime;
   return hash;
 }
 
-Statement malformedStatement(Statement s, const char *code, const char *complaint) {
+Statement malformedStatement(Statement s, const char *sqlState, const char *errorMessage) {
   s.kind = Statement::malformed;
-  s.code = code;
-  s.complaint = complaint;
+  s.sqlState = sqlState;
+  s.errorMessage = errorMessage;
   return s;
 }
 
@@ -244,7 +244,7 @@
   Statement s;
   s.text = sql;
   if (!isValidUtf8(sql)) return malformedStatement(s, kInvalidEncoding, "the statement is not valid UTF-8");
-  const auto parts = outlineOf(sql);
+  const auto parts = scanStatement(sql);
   if (!parts.isClosed) return malformedStatement(s, kSyntaxError, "a string or comment is not closed");
   if (parts.words.empty()) {
     s.kind = Statement::empty;
@@ -275,12 +275,12 @@
     return malformedStatement(s, kSyntaxError,
                               "the comment must hold id, c and d once each, d in whole milliseconds");
   s.kind = Statement::request;
-  s.record = parts.literal;
-  s.key = keyOf(parts.literal);
+  s.rowKey = parts.literal;
+  s.rowKeyNumber = rowKeyNumberOf(parts.literal);
   return s;
 }
 
-Statement movedTo(const Statement &statement, std::string_view copy) {
+Statement rebindStatement(const Statement &statement, std::string_view copy) {
   const auto moved = [&](std::string_view part) {
     if (part.data() == nullptr) return part;
     return copy.substr(static_cast<std::size_t>(part.data() - statement.text.data()), part.size());
@@ -289,14 +289,14 @@
   out.text = copy;
   out.id = moved(statement.id);
   out.route = moved(statement.route);
-  out.record = moved(statement.record);
+  out.rowKey = moved(statement.rowKey);
   return out;
 }
 
-std::string withPatience(const Statement &statement, std::int64_t ms) {
-  std::string out(statement.text.substr(0, statement.patienceAt));
+std::string textWithTimeout(const Statement &statement, std::int64_t ms) {
+  std::string out(statement.text.substr(0, statement.timeoutOffset));
   out += std::to_string(ms);
-  out += statement.text.substr(statement.patienceAt + statement.patienceSize);
+  out += statement.text.substr(statement.timeoutOffset + statement.timeoutLength);
   return out;
 }
 
--- a/src/policy/dns_lookup.cpp
+++ b/src/policy/dns_lookup.cpp
@@ -89,7 +89,7 @@
   case dns::Status::noSuchName:
     servers_.onSuccess(query_.server);
     return acceptAnswer(message);
-  case dns::Status::failed:
+  case dns::Status::serverFailure:
     return fail("SERVFAIL", now);
   case dns::Status::refused:
     return fail("REFUSED", now);
@@ -150,7 +150,7 @@
     acceptAdditional(message);
     return finish(LookupResult::records, ttl);
   }
-  const Nanoseconds negativeTtl = message.denialSeconds ? *message.denialSeconds * kSecond : kNoTtl;
+  const Nanoseconds negativeTtl = message.negativeTtlSeconds ? *message.negativeTtlSeconds * kSecond : kNoTtl;
   if (message.status == dns::Status::noSuchName) return finish(LookupResult::nxDomain, negativeTtl);
   const bool aliasEndsOutsideAnswer = query_.sent.question.name != currentQuestion_.name;
   if (!aliasEndsOutsideAnswer) return finish(LookupResult::noData, negativeTtl);
--- a/src/policy/dns_lookup.h
+++ b/src/policy/dns_lookup.h
@@ -42,7 +42,7 @@
 struct Query {
   std::size_t server = 0;
   Transport transport = Transport::udp;
-  dns::Sent sent;
+  dns::SentQuery sent;
   Nanoseconds timeout = 0;
 };
 
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -28,8 +28,8 @@
                                SendProgress progress, pg::Message &out) {
   for (;;) {
     const auto parsed = pg::parseMessage(buffer.view(), out);
-    if (parsed == pg::Parsed::whole) co_return Failure{};
-    if (parsed == pg::Parsed::bad) co_return Failure{ErrorCode::unreadable, progress};
+    if (parsed == pg::ParseStatus::complete) co_return Failure{};
+    if (parsed == pg::ParseStatus::malformed) co_return Failure{ErrorCode::unreadable, progress};
     const auto error = co_await socket.read(buffer, deadline);
     if (error != ErrorCode::none)
       co_return Failure{error, buffer.empty() ? progress : std::max(progress, SendProgress::responseStarted)};
@@ -99,7 +99,7 @@
     co_return out;
   }
   std::string query;
-  pg::addQuery(query, pg::withPatience(statement, forwardedTimeoutMs(deadline.at - sched_.now())));
+  pg::addQuery(query, pg::textWithTimeout(statement, forwardedTimeoutMs(deadline.at - sched_.now())));
   const auto failure = co_await exchange(*connection, std::move(query), deadline, sendBy, out);
   if (failure.cause != ErrorCode::none)
     out.outcome = outcomeOf(failure);
@@ -165,7 +165,7 @@
   for (bool isComplete = false; !isComplete;) {
     pg::Message message;
     const auto part = connection.reply.next(buffer.view(), message);
-    if (part == pg::Reply::more) {
+    if (part == pg::ReplyValidator::incomplete) {
       const auto size = pg::announcedSize(buffer.view());
       if (size > kSmallMessageBytes && !out.memory.isAcquired()) {
         const auto reserved = co_await net::MemoryReservation::acquire(sched_, answerMemory_, size, deadline,
@@ -181,7 +181,7 @@
       progress = SendProgress::responseStarted;
       continue;
     }
-    if (part == pg::Reply::bad || part == pg::Reply::empty)
+    if (part == pg::ReplyValidator::unexpected || part == pg::ReplyValidator::emptyQuery)
       co_return Failure{ErrorCode::unreadable, SendProgress::responseStarted};
     isComplete = addToAnswer(connection, part, message, out);
     buffer.consume(message.size);
@@ -198,16 +198,16 @@
 
 // Adds the part at the front of the buffer to the answer, without consuming it. Returns whether the answer is
 // complete.
-bool ConnectionPool::addToAnswer(Connection &connection, pg::Reply::Part part, const pg::Message &message,
-                                 AttemptResult &out) {
+bool ConnectionPool::addToAnswer(Connection &connection, pg::ReplyValidator::MessageKind part,
+                                 const pg::Message &message, AttemptResult &out) {
   constexpr std::string_view kTooManyConnections = "53300"; // the SQLSTATE of a rejected statement
-  if (part == pg::Reply::aside && message.type == 'S') readParameterStatus(message.body, out);
-  if (part == pg::Reply::error)
+  if (part == pg::ReplyValidator::asynchronous && message.type == 'S') readParameterStatus(message.body, out);
+  if (part == pg::ReplyValidator::errorResponse)
     out.outcome = pg::errorCode(message.body) == kTooManyConnections ? Outcome::rejected : Outcome::failed;
-  else if (part != pg::Reply::aside)
+  else if (part != pg::ReplyValidator::asynchronous)
     out.answer += connection.buffer.view().substr(0, message.size);
-  if (part == pg::Reply::complete) out.outcome = Outcome::succeeded;
-  return part == pg::Reply::complete || part == pg::Reply::error;
+  if (part == pg::ReplyValidator::commandComplete) out.outcome = Outcome::succeeded;
+  return part == pg::ReplyValidator::commandComplete || part == pg::ReplyValidator::errorResponse;
 }
 
 // Waits for the empty query's answer, to detect a copy of an earlier answer that was taken for this one. In
@@ -228,7 +228,7 @@
 void ConnectionPool::readParameterStatus(std::string_view body, AttemptResult &out) {
   constexpr std::size_t kMaxLoggedBytes = 100;
   std::string_view name, value;
-  if (!pg::takeText(body, name) || !pg::takeText(body, value) || name != "load") return;
+  if (!pg::takeCString(body, name) || !pg::takeCString(body, value) || name != "load") return;
   out.loadValues = parseLoadReport(value, loadFields_);
   if (!out.loadValues.empty() || loadFields_.empty() || hasLoggedBadLoadReport_) return;
   hasLoggedBadLoadReport_ = true;
@@ -254,14 +254,15 @@
   auto &pending = connection.pendingReadyForQuery;
   while (!connection.hasUnexpectedContent && (pending > 0 || !connection.buffer.empty())) {
     const auto part = connection.reply.next(connection.buffer.view(), message);
-    if (part == pg::Reply::more) return;
-    const bool isReady = part == pg::Reply::ready &&
+    if (part == pg::ReplyValidator::incomplete) return;
+    const bool isReady = part == pg::ReplyValidator::readyForQuery &&
                          (pending == 2 || (pending == 1 && !connection.isEmptyQueryAnswerPending));
-    const bool isEmptyQueryAnswer = part == pg::Reply::empty && pending == 1 &&
+    const bool isEmptyQueryAnswer = part == pg::ReplyValidator::emptyQuery && pending == 1 &&
                                     connection.isEmptyQueryAnswerPending;
-    if (part == pg::Reply::aside && message.type == 'S' && out != nullptr)
+    if (part == pg::ReplyValidator::asynchronous && message.type == 'S' && out != nullptr)
       readParameterStatus(message.body, *out);
-    connection.hasUnexpectedContent = part != pg::Reply::aside && !isReady && !isEmptyQueryAnswer;
+    connection.hasUnexpectedContent = part != pg::ReplyValidator::asynchronous && !isReady &&
+                                      !isEmptyQueryAnswer;
     if (connection.hasUnexpectedContent) return;
     if (isReady) --pending;
     if (isEmptyQueryAnswer) connection.isEmptyQueryAnswerPending = false;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -43,7 +43,7 @@
                  std::size_t answerMemory)
       : sched_(sched), budget_(budget), log_(log), connectTimeout_(connectTimeout), maxIdleTime_(maxIdleTime),
         loadFields_(std::move(loadFields)),
-        answerMemory_(std::max(answerMemory, pg::kMostRow + kMaxAnswerOverheadBytes)) {}
+        answerMemory_(std::max(answerMemory, pg::kMaxRowBytes + kMaxAnswerOverheadBytes)) {}
 
   // Makes one attempt. Calls `isStillCurrent` directly before the statement is written. The outcome is
   // notSent if that returns false or `sendBy` has passed. After `sendBy` no byte of the statement is written.
@@ -62,7 +62,7 @@
     net::Buffer buffer;
     std::uint64_t endpointVersion = 0; // the endpoint's version when the connection was opened
     Nanoseconds idleSince = 0;
-    pg::Reply reply;
+    pg::ReplyValidator reply;
     int pendingReadyForQuery = 0;           // number of ReadyForQuery messages that are still expected
     bool isEmptyQueryAnswerPending = false; // expected before the last ReadyForQuery
     bool hasUnexpectedContent = false;
@@ -81,7 +81,7 @@
   net::Task<net::Failure> handshake(Connection &connection, net::Deadline deadline);
   net::Task<net::Failure> exchange(Connection &connection, std::string query, net::Deadline deadline,
                                    Nanoseconds sendBy, AttemptResult &out);
-  bool addToAnswer(Connection &connection, pg::Reply::Part part, const pg::Message &message,
+  bool addToAnswer(Connection &connection, pg::ReplyValidator::MessageKind part, const pg::Message &message,
                    AttemptResult &out);
   net::Task<net::Failure> confirmAnswer(Connection &connection, net::Deadline deadline, AttemptResult &out);
   PooledConnection takeIdle(const UpstreamEndpoint &endpoint);
