--- a/src/format/http/event_stream.cpp
+++ b/src/format/http/event_stream.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::size_t kMaxEventBytes = 64 * 1024;
 
-// Whether `text` holds the blank line that ends its first event.
-bool hasWholeEvent(const std::string &text) {
+// Returns true if `text` contains the blank line that ends its first event.
+bool hasCompleteEvent(const std::string &text) {
   for (std::size_t lineStart = 0;;) {
     const auto lineEnd = text.find('\n', lineStart);
     if (lineEnd == std::string::npos) return false;
@@ -24,7 +24,7 @@
   std::string value;
 };
 
-// "name: value"; a comment has no name.
+// Parses "name: value". A comment line starts with a colon and has an empty name.
 Line parseLine(const std::string &text) {
   const auto colon = std::min(text.find(':'), text.size());
   Line out{text.substr(0, colon), text.substr(std::min(colon + 1, text.size()))};
@@ -48,7 +48,7 @@
 
 EventStatus takeEvent(std::string &text, Event &out) {
   for (;;) {
-    if (!hasWholeEvent(text))
+    if (!hasCompleteEvent(text))
       return text.size() > kMaxEventBytes ? EventStatus::malformed : EventStatus::incomplete;
     out = {};
     std::string lineText;
@@ -62,7 +62,7 @@
       out.data += line.value;
       hasData = true;
     }
-    if (hasData) return EventStatus::event; // one without data is no event
+    if (hasData) return EventStatus::event; // an event without data is ignored, as the specification requires
   }
 }
 
--- a/src/format/http/event_stream.h
+++ b/src/format/http/event_stream.h
@@ -1,4 +1,5 @@
-// Streams of lines and of events (server-sent events), taken off the front of a text that grows.
+// Incremental parsers for streams of lines and of server-sent events. They remove complete items from the
+// front of a receive buffer.
 #pragma once
 
 #include <string>
@@ -6,17 +7,18 @@
 namespace myrtlehead::http {
 
 struct Event {
-  std::string name; // "" where it names none
-  std::string data; // its lines joined by '\n'
+  std::string name; // "" if the event has no name
+  std::string data; // data lines joined by '\n'
 };
 
-// none: no event is there in full; unreadable: a line that no event stream has, or an event that does not
-// end.
+// incomplete: the buffer holds no complete event. malformed: a line has an unknown field name, or an
+// incomplete event exceeds 64 KiB.
 enum class EventStatus { incomplete, event, malformed };
-// Takes the first event that has data.
+// Removes events from the front of `text` up to the first one with data, and stores that event in `out`.
 EventStatus takeEvent(std::string &text, Event &out);
 
-// Takes one line, without its end; false: none is there in full.
+// Removes one line from the front of `text` and stores it in `line` without its line ending. Returns false if
+// `text` holds no complete line.
 bool takeLine(std::string &text, std::string &line);
 
 } // namespace myrtlehead::http
--- a/src/format/http/form.cpp
+++ b/src/format/http/form.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The digit's value; nullopt: it is none.
+// Returns the value of the hexadecimal digit, or nullopt if `c` is not one.
 std::optional<int> hexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -15,8 +15,8 @@
   return std::nullopt;
 }
 
-// nullopt: an escape is broken.
-std::optional<std::string> decoded(std::string_view in) {
+// Decodes percent escapes and '+'. Returns nullopt if an escape is invalid.
+std::optional<std::string> percentDecode(std::string_view in) {
   std::string out;
   for (std::size_t i = 0; i < in.size(); ++i) {
     if (in[i] != '%') {
@@ -33,7 +33,7 @@
   return out;
 }
 
-std::string encoded(std::string_view in) {
+std::string percentEncode(std::string_view in) {
   constexpr const char *kHex = "0123456789ABCDEF";
   std::string out;
   for (const char c : in) {
@@ -63,8 +63,8 @@
     text.remove_prefix(std::min(end + 1, text.size()));
     const auto equals = item.find('=');
     if (equals == std::string_view::npos || equals == 0) return false;
-    auto name = decoded(item.substr(0, equals));
-    auto value = decoded(item.substr(equals + 1));
+    auto name = percentDecode(item.substr(0, equals));
+    auto value = percentDecode(item.substr(equals + 1));
     if (!name || !value) return false;
     out.emplace_back(std::move(*name), std::move(*value));
   }
@@ -75,7 +75,7 @@
   std::string out;
   for (const auto &[name, value] : fields) {
     if (!out.empty()) out += '&';
-    out += encoded(name) + '=' + encoded(value);
+    out += percentEncode(name) + '=' + percentEncode(value);
   }
   return out;
 }
--- a/src/format/http/form.h
+++ b/src/format/http/form.h
@@ -1,4 +1,4 @@
-// Forms as HTTP bodies hold them: a=b&c=d, percent-encoded.
+// Encoding and decoding of application/x-www-form-urlencoded bodies: a=b&c=d, percent-encoded.
 #pragma once
 
 #include <string>
@@ -8,13 +8,14 @@
 
 namespace myrtlehead::http {
 
-// Names and values in their order; a name may come again.
+// Names and values in their original order; a name may occur more than once.
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-// The first value of that name; "" where there is none.
+// Returns the first value with that name, or "" if there is none.
 std::string_view value(const Fields &fields, std::string_view name);
 
-// Appends the fields to `out`. False: an item has no name or no '=', or an escape is broken.
+// Appends the decoded fields to `out`. Returns false if an item has no name or no '=', or if a percent escape
+// is invalid; `out` then holds the items before it.
 bool parseForm(std::string_view text, Fields &out);
 std::string writeForm(const Fields &fields);
 
--- a/src/format/http/http.cpp
+++ b/src/format/http/http.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view kVersion = "HTTP/1.";
 constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 constexpr std::size_t kMaxChunkLineBytes = 256;
-constexpr std::uint64_t kMaxBodyBytes = 16 * 1024 * 1024; // of a body or a chunk
+constexpr std::uint64_t kMaxBodyBytes = 16 * 1024 * 1024; // of a Content-Length or of one chunk
 
 std::string lowerCase(std::string_view text) {
   std::string out(text);
@@ -21,13 +21,13 @@
   return out;
 }
 
-// The whole text as a number.
+// Parses the whole text as a number. Returns false if the text is empty or has other characters.
 template <class Number> bool parseNumber(std::string_view text, Number &out, int base = 10) {
   const auto result = std::from_chars(text.data(), text.data() + text.size(), out, base);
   return !text.empty() && result.ec == std::errc{} && result.ptr == text.data() + text.size();
 }
 
-// Any head: its first line, and the fields behind it.
+// Parses the first line and the fields of a request or response head.
 ParseStatus parseHead(std::string_view in, std::string &firstLine, Head &out, std::size_t &size) {
   const auto end = in.find("\r\n\r\n");
   if (end == std::string_view::npos)
@@ -100,7 +100,7 @@
     framing_ = untilClose;
 }
 
-// The lines between chunks: a size, the end of the data, the trailers.
+// Decodes one line of the chunked framing: a chunk size, the line end after chunk data, or a trailer.
 ParseStatus BodyDecoder::decodeChunkLine(std::string_view in, std::size_t &used) {
   const auto end = in.find("\r\n");
   if (end == std::string_view::npos)
@@ -121,7 +121,8 @@
 
 namespace {
 
-// Moves at most `most` bytes from behind the first `used` of `in` to `content`; returns how many.
+// Appends at most `maxBytes` bytes of `in`, starting at offset `used`, to `content`. Advances `used` and
+// returns the number of appended bytes.
 std::size_t appendBytes(std::string_view in, std::uint64_t maxBytes, std::string &content,
                         std::size_t &used) {
   const auto count = static_cast<std::size_t>(std::min<std::uint64_t>(maxBytes, in.size() - used));
@@ -150,7 +151,7 @@
 }
 
 ParseStatus BodyDecoder::decodeChunks(std::string_view in, std::string &content, std::size_t &used) {
-  constexpr std::size_t kBlankLine = 2;
+  constexpr std::size_t kBlankLineBytes = 2;
   for (;;) {
     if (chunkState_ == data) {
       remainingBytes_ -= appendBytes(in, remainingBytes_, content, used);
@@ -163,7 +164,7 @@
     const auto parsed = decodeChunkLine(in.substr(used), lineSize);
     if (parsed != ParseStatus::complete) return parsed;
     used += lineSize;
-    if (isTrailer && lineSize == kBlankLine) return ParseStatus::complete;
+    if (isTrailer && lineSize == kBlankLineBytes) return ParseStatus::complete;
   }
 }
 
--- a/src/format/http/http.h
+++ b/src/format/http/http.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 as far as it is used here: heads and bodies parsed from bytes, requests written to them. No
-// sockets.
+// The subset of HTTP/1.1 that the control connections use: decoding of message heads and bodies, and encoding
+// of requests. The functions work on buffers and do no I/O.
 #pragma once
 
 #include "format/http/form.h"
@@ -10,39 +10,40 @@
 
 namespace myrtlehead::http {
 
-// more: not all of it is there yet; whole: it was parsed; bad: it can't be, whatever follows.
+// incomplete: more input is needed. complete: parsed. malformed: no further input can make it valid.
 enum class ParseStatus { incomplete, complete, malformed };
 
 struct Head {
-  std::string method;                                  // of a request
-  std::string target;                                  // of a request
-  int status = 0;                                      // of a response
+  std::string method;                                  // set for a request
+  std::string target;                                  // set for a request
+  int status = 0;                                      // set for a response
   Fields fields;                                       // names in lower case
-  std::string_view field(std::string_view name) const; // "" where there is none
+  std::string_view field(std::string_view name) const; // "" if there is no such field
 };
-// Parse the head at the front of `in`. `size`: its bytes, with the blank line behind it.
+// Parse the head at the front of `in`. `size` is set to its length in bytes, including the blank line.
 ParseStatus parseRequest(std::string_view in, Head &out, std::size_t &size);
 ParseStatus parseResponse(std::string_view in, Head &out, std::size_t &size);
 
-// The body behind a head: by its length, in chunks, or up to the connection's end.
+// Decodes the body that follows a head. Its end is given by Content-Length, chunked encoding, or the close of
+// the connection.
 class BodyDecoder {
 public:
   explicit BodyDecoder(const Head &head, bool isRequest = false);
-  BodyDecoder() = default; // an empty one
-  // Takes what it can off the front of `in` and appends it to `content`. `used`: how many bytes of `in`. A
-  // body up to the connection's end is never whole.
+  BodyDecoder() = default; // decodes an empty body
+  // Decodes as much of `in` as possible and appends it to `content`. `used` is set to the number of consumed
+  // bytes. A body that ends with the connection is never reported as complete.
   ParseStatus decode(std::string_view in, std::string &content, std::size_t &used);
-  bool endsWithConnection() const { return framing_ == untilClose; } // of the connection
+  bool endsWithConnection() const { return framing_ == untilClose; }
 
 private:
   ParseStatus decodeChunkLine(std::string_view in, std::size_t &used);
   ParseStatus decodeChunks(std::string_view in, std::string &content, std::size_t &used);
   enum Framing { fixedLength, chunked, untilClose, malformed } framing_ = fixedLength;
   enum ChunkState { sizeLine, data, dataEnd, trailer } chunkState_ = sizeLine;
-  std::uint64_t remainingBytes_ = 0; // bytes of the body or the chunk
+  std::uint64_t remainingBytes_ = 0; // of the body or of the current chunk
 };
 
-// With a form as its body, where one is given.
+// Encodes a request. A non-empty `form` becomes its body, with Content-Type and Content-Length.
 std::string writeRequest(std::string_view method, std::string_view target, std::string_view host,
                          std::string_view form = {});
 
--- a/src/format/http/text.h
+++ b/src/format/http/text.h
@@ -1,11 +1,11 @@
-// Helpers of the parsers in this folder.
+// Text helpers shared by the HTTP and XML parsers.
 #pragma once
 
 #include <string_view>
 
 namespace myrtlehead::http {
 
-// Without blanks at both ends, and without a carriage return at the end.
+// Removes spaces and tabs at both ends, and carriage returns at the end.
 std::string_view trimmed(std::string_view text);
 
 } // namespace myrtlehead::http
--- a/src/format/http/xml.cpp
+++ b/src/format/http/xml.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Appends the text with its entities resolved; false: one is unknown or not closed.
+// Appends `in` to `out` with its entities resolved. Returns false if an entity is unknown or not terminated.
 bool appendUnescaped(std::string_view in, std::string &out) {
   constexpr std::pair<std::string_view, char> kEntities[] = {
       {"amp", '&'}, {"lt", '<'}, {"gt", '>'}, {"quot", '"'}, {"apos", '\''}};
@@ -34,7 +34,7 @@
 bool parseXml(std::string_view text, Fields &leaves) {
   std::vector<std::string_view> openElements;
   std::string content;
-  bool isLeaf = false; // the innermost openElements element, so far
+  bool isLeaf = false; // true while the innermost open element has no child element
   bool hasRoot = false;
   while (!text.empty()) {
     const auto tagStart = std::min(text.find('<'), text.size());
@@ -45,7 +45,7 @@
     if (tagEnd == std::string_view::npos || tagEnd < 2) return false;
     auto tag = text.substr(1, tagEnd - 1);
     text.remove_prefix(tagEnd + 1);
-    if (tag[0] == '?' || tag[0] == '!') continue; // a declaration
+    if (tag[0] == '?' || tag[0] == '!') continue; // skips XML declarations, comments and DOCTYPE
     if (tag[0] == '/') {
       const auto name = trimmed(tag.substr(1));
       if (openElements.empty() || openElements.back() != name) return false;
--- a/src/format/json/json.h
+++ b/src/format/json/json.h
@@ -1,4 +1,4 @@
-// JSON (RFC 8259), parsed strictly. Objects keep the order of their fields in the text.
+// A strict JSON parser (RFC 8259). Objects keep their fields in document order.
 #pragma once
 
 #include <optional>
@@ -11,19 +11,19 @@
 
 struct Value {
   enum Kind { null, boolean, number, string, array, object } kind = null;
-  bool boolValue = false;                            // of a boolean
-  double numberValue = 0;                            // of a number
-  std::string text;                                  // of a string, or of a number as it was written
-  std::vector<Value> items;                          // of an array
-  std::vector<std::pair<std::string, Value>> fields; // of an object
+  bool boolValue = false;                            // set for a boolean
+  double numberValue = 0;                            // set for a number
+  std::string text;                                  // string value, or the literal text of a number
+  std::vector<Value> items;                          // set for an array
+  std::vector<std::pair<std::string, Value>> fields; // set for an object
 
-  // The last field of that name; nullptr: there is none, or this is no object.
+  // Returns the last field with that name, or nullptr if there is none or this value is not an object.
   const Value *find(std::string_view name) const;
   bool operator==(const Value &) const = default;
 };
 
-// nullopt: the text is not exactly one JSON value, or is nested too deep; `error`, where given, then says why
-// and ends in "at byte N".
+// Returns nullopt if the text is not exactly one JSON value or is nested too deeply. If `error` is given, it
+// then receives a message that ends in "at byte N".
 std::optional<Value> parse(std::string_view text, std::string *error = nullptr);
 
 } // namespace myrtlehead::json
--- a/src/format/pg/message.cpp
+++ b/src/format/pg/message.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Codes that stand in place of a protocol version.
+// Request codes that replace the protocol version in the first packet.
 constexpr std::uint32_t kCancelRequest = 80877102;
 constexpr std::uint32_t kSslRequest = 80877103;
 constexpr std::uint32_t kGssRequest = 80877104;
 constexpr std::uint32_t kProtocolVersion = 3 << 16; // 3.0
 constexpr std::size_t kMaxStartupBytes = 10'000;
-constexpr std::size_t kMinStartupBytes = 8; // length and version
-constexpr std::size_t kLengthBytes = 4;     // the length counts itself, not the type
-constexpr std::size_t kHeaderBytes = 5;     // type and length
+constexpr std::size_t kMinStartupBytes = 8; // length field and version
+constexpr std::size_t kLengthBytes = 4;     // the length field counts itself but not the type
+constexpr std::size_t kHeaderBytes = 5;     // type and length field
 constexpr std::uint32_t kTextOid = 25;
 
-std::uint32_t readInt32(std::string_view at) {
+std::uint32_t readUint32(std::string_view at) {
   std::uint32_t value = 0;
   for (std::size_t i = 0; i < 4; ++i) value = value << 8 | static_cast<std::uint8_t>(at[i]);
   return value;
@@ -31,7 +31,7 @@
   for (const int shift : {24, 16, 8, 0}) out += static_cast<char>(value >> shift);
 }
 
-void addText(std::string &out, std::string_view text) {
+void addCString(std::string &out, std::string_view text) {
   out += text;
   out += '\0';
 }
@@ -40,7 +40,7 @@
 
 ParseStatus parseMessage(std::string_view in, Message &out, std::size_t maxBytes) {
   if (in.size() < kHeaderBytes) return ParseStatus::incomplete;
-  const std::size_t length = readInt32(in.substr(1));
+  const std::size_t length = readUint32(in.substr(1));
   if (length < kLengthBytes || length > maxBytes) return ParseStatus::malformed;
   if (in.size() < length + 1) return ParseStatus::incomplete;
   out = {in[0], in.substr(kHeaderBytes, length - kLengthBytes), length + 1};
@@ -48,15 +48,15 @@
 }
 
 std::size_t announcedSize(std::string_view in) {
-  return in.size() < kHeaderBytes ? 0 : readInt32(in.substr(1)) + std::size_t{1};
+  return in.size() < kHeaderBytes ? 0 : readUint32(in.substr(1)) + std::size_t{1};
 }
 
 ParseStatus parseStartup(std::string_view in, Startup &out) {
   if (in.size() < kLengthBytes) return ParseStatus::incomplete;
-  const std::size_t length = readInt32(in);
+  const std::size_t length = readUint32(in);
   if (length < kMinStartupBytes || length > kMaxStartupBytes) return ParseStatus::malformed;
   if (in.size() < length) return ParseStatus::incomplete;
-  const auto code = readInt32(in.substr(kLengthBytes));
+  const auto code = readUint32(in.substr(kLengthBytes));
   out.size = length;
   out.minor = static_cast<int>(code & 0xffff);
   out.kind = code == kSslRequest || code == kGssRequest ? FirstPacketKind::encryptionRequest
@@ -76,13 +76,13 @@
 
 namespace {
 
-constexpr int kMaxAsynchronousMessages = 32;      // notices and parameters for one answer
-constexpr std::size_t kMaxSmallBytes = 16 * 1024; // of a message without a value
+constexpr int kMaxAsynchronousMessages = 32;          // NoticeResponse and ParameterStatus per reply
+constexpr std::size_t kMaxOtherBodyBytes = 16 * 1024; // for bodies without a row value
 constexpr std::size_t kMaxTagBytes = 64;
-constexpr std::size_t kColumnBytes = 18;   // of a RowDescription, behind the name
-constexpr std::size_t kRowHeaderBytes = 6; // of a DataRow: count of columns, length of the value
+constexpr std::size_t kColumnBytes = 18;   // a column's description after its name in a RowDescription
+constexpr std::size_t kRowHeaderBytes = 6; // column count and value length in a DataRow
 constexpr std::size_t kSqlStateLength = 5;
-constexpr std::string_view kOneColumn("\0\1", 2); // the count of columns
+constexpr std::string_view kOneColumn("\0\1", 2); // a column count of 1
 
 bool describesOneColumn(std::string_view body) {
   std::string_view name;
@@ -93,17 +93,17 @@
 
 bool hasOneValue(std::string_view body) {
   return body.size() >= kRowHeaderBytes && body.substr(0, 2) == kOneColumn &&
-         readInt32(body.substr(2)) == body.size() - kRowHeaderBytes;
+         readUint32(body.substr(2)) == body.size() - kRowHeaderBytes;
 }
 
-// One printable text.
-bool isTag(std::string_view body) {
+// Checks for a single non-empty string of printable ASCII characters.
+bool isCommandTag(std::string_view body) {
   std::string_view text;
   if (!takeCString(body, text) || !body.empty() || text.empty()) return false;
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
 
-// Fields of a type and a text each, closed by a zero, with an SQLSTATE among them.
+// Checks for a null-terminated list of fields (type and string) that includes an SQLSTATE.
 bool isErrorBody(std::string_view body) {
   bool hasCode = false;
   std::string_view text;
@@ -121,7 +121,7 @@
   return kind == ReplyValidator::commandComplete || kind == ReplyValidator::readyForQuery ||
                  kind == ReplyValidator::emptyQuery
              ? kMaxTagBytes
-             : kMaxSmallBytes;
+             : kMaxOtherBodyBytes;
 }
 
 bool isValidBody(ReplyValidator::MessageKind kind, std::string_view body) {
@@ -131,7 +131,7 @@
   case ReplyValidator::dataRow:
     return hasOneValue(body);
   case ReplyValidator::commandComplete:
-    return isTag(body);
+    return isCommandTag(body);
   case ReplyValidator::errorResponse:
     return isErrorBody(body);
   case ReplyValidator::readyForQuery:
@@ -181,8 +181,8 @@
   }
 }
 
-// Guards against noise, lengths that don't fit and values that never end: a message is rejected by its type
-// and its announced size, before its rest is waited for or stored.
+// Rejects a message by its type and announced size before its remaining bytes are awaited or stored. This
+// guards against garbage, inconsistent lengths and values that never end.
 ReplyValidator::MessageKind ReplyValidator::next(std::string_view in, Message &out) {
   if (in.empty()) return incomplete;
   const auto kind = kindOf(in[0]);
@@ -216,11 +216,11 @@
 void addStartup(std::string &out, std::string_view user, std::string_view database) {
   std::string body;
   addInt32(body, kProtocolVersion);
-  addText(body, "user");
-  addText(body, user);
-  addText(body, "database");
-  addText(body, database);
-  addText(body, "");
+  addCString(body, "user");
+  addCString(body, user);
+  addCString(body, "database");
+  addCString(body, database);
+  addCString(body, "");
   addInt32(out, static_cast<std::uint32_t>(body.size() + kLengthBytes));
   out += body;
 }
@@ -228,7 +228,7 @@
 void addQuery(std::string &out, std::string_view sql) {
   out += 'Q';
   addInt32(out, static_cast<std::uint32_t>(sql.size() + 1 + kLengthBytes));
-  addText(out, sql);
+  addCString(out, sql);
 }
 
 void addSessionStart(std::string &out, std::uint32_t process, std::uint32_t secret) {
@@ -237,8 +237,8 @@
   addMessage(out, 'R', body); // AuthenticationOk
   const auto parameter = [&](std::string_view name, std::string_view value) {
     body.clear();
-    addText(body, name);
-    addText(body, value);
+    addCString(body, name);
+    addCString(body, value);
     addMessage(out, 'S', body);
   };
   parameter("server_version", "15.0");
@@ -266,15 +266,15 @@
 
 void addCommandComplete(std::string &out, std::string_view tag) {
   std::string body;
-  addText(body, tag);
+  addCString(body, tag);
   addMessage(out, 'C', body);
 }
 
 void addRow(std::string &out, std::string_view column, std::string_view value) {
   std::string body;
   addInt16(body, 1);
-  addText(body, column);
-  addInt32(body, 0); // of no table
+  addCString(body, column);
+  addInt32(body, 0); // the column belongs to no table
   addInt16(body, 0);
   addInt32(body, kTextOid);
   addInt16(body, 0xffff);
@@ -293,7 +293,7 @@
   const auto field = [&](char type, std::string_view text) {
     if (text.empty()) return;
     body += type;
-    addText(body, text);
+    addCString(body, text);
   };
   field('S', fields.severity);
   field('V', fields.severity);
--- a/src/format/pg/message.h
+++ b/src/format/pg/message.h
@@ -1,4 +1,5 @@
-// Version 3 of PostgreSQL's wire protocol: messages parsed from bytes and written to them. No sockets.
+// Encoding and decoding of messages of the PostgreSQL wire protocol, version 3. The functions work on buffers
+// and do no I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,40 +8,45 @@
 
 namespace myrtlehead::pg {
 
-// more: not all of it is there yet; whole: it was parsed; bad: it can't be, whatever follows.
+// incomplete: more input is needed. complete: parsed. malformed: no further input can make it valid.
 enum class ParseStatus { incomplete, complete, malformed };
 
-constexpr std::size_t kMaxClientMessageBytes = 256 * 1024; // of a client's message
-// Of an endpoint's row. More than a client's message: stored rows may have been written another way.
+constexpr std::size_t kMaxClientMessageBytes = 256 * 1024;
+// A row from an endpoint may be larger than a client's message, because stored rows may have been written by
+// other means than this gateway.
 constexpr std::size_t kMaxRowBytes = 4 * 1024 * 1024;
 
 struct Message {
   char type = 0;
   std::string_view body;
-  std::size_t size = 0; // with type and length
+  std::size_t size = 0; // including type and length
 };
-// The message at the front of `in`, to which its body refers; bad where it is longer than `most` bytes.
+// Parses the message at the front of `in`; the body of `out` refers to `in`. The message is malformed if its
+// length field exceeds `maxBytes`.
 ParseStatus parseMessage(std::string_view in, Message &out, std::size_t maxBytes = kMaxClientMessageBytes);
 
-// Of the message at the front, by its length field; 0 while that is not there.
+// Returns the size in bytes of the message at the front of `in` according to its length field, or 0 if the
+// length field is incomplete.
 std::size_t announcedSize(std::string_view in);
 
-// The first packet of a connection, which has no type.
+// The kind of the first packet of a connection, which has no type byte.
 enum class FirstPacketKind { startup, encryptionRequest, cancelRequest, unknown };
 struct Startup {
   FirstPacketKind kind = FirstPacketKind::unknown;
-  int minor = 0;        // version of the protocol
-  std::size_t size = 0; // with the length
+  int minor = 0;        // minor protocol version
+  std::size_t size = 0; // including the length field
 };
 ParseStatus parseStartup(std::string_view in, Startup &out);
 
-// Takes a zero-terminated string off the front; false: there is none.
+// Removes a null-terminated string from the front of `body`. Returns false if there is no terminator.
 bool takeCString(std::string_view &body, std::string_view &text);
 
-// Checks what an endpoint sends on a connection, message by message, for the one order that answers a
-// statement: a RowDescription of one column, one DataRow of one column and CommandComplete, or an
-// ErrorResponse, or EmptyQueryResponse; then ReadyForQuery. NoticeResponse and ParameterStatus (aside) may
-// come anywhere.
+// Validates the messages that an endpoint sends on a connection. The only valid reply to a statement is
+// one of
+//   - RowDescription of one column, one DataRow of one column, CommandComplete,
+//   - ErrorResponse instead of any of these messages,
+//   - EmptyQueryResponse,
+// followed by ReadyForQuery. The asynchronous messages NoticeResponse and ParameterStatus may occur anywhere.
 class ReplyValidator {
 public:
   enum MessageKind {
@@ -54,32 +60,33 @@
     emptyQuery,
     unexpected,
   };
-  // The message at the front of `in`; bad as soon as the bytes show that it may not come there.
+  // Parses the message at the front of `in`. Returns `unexpected` as soon as the received bytes show that the
+  // message is invalid or out of order, and `incomplete` if more input is needed.
   MessageKind next(std::string_view in, Message &out);
 
 private:
   enum Expected { replyStart, rowExpected, completionExpected, readyExpected };
   MessageKind kindOf(char type) const;
-  Expected expectedAfter(MessageKind part) const;
+  Expected expectedAfter(MessageKind kind) const;
   Expected expected_ = replyStart;
-  int asynchronousMessages_ = 0; // since the last ReadyForQuery
+  int asynchronousMessages_ = 0; // count since the last ReadyForQuery
 };
 
-// The SQLSTATE of an ErrorResponse's body; "" where it has none.
+// Returns the SQLSTATE in the body of an ErrorResponse, or "" if it has none.
 std::string_view errorCode(std::string_view body);
 
-// Each appends one message, addSessionStart() and addRow() several, to `out`.
+// Each function appends one message to `out`; addSessionStart() and addRow() append several.
 void addMessage(std::string &out, char type, std::string_view body);
 void addStartup(std::string &out, std::string_view user, std::string_view database);
 void addQuery(std::string &out, std::string_view sql);
-// AuthenticationOk, the parameters and BackendKeyData.
+// AuthenticationOk, ParameterStatus for each reported parameter, and BackendKeyData.
 void addSessionStart(std::string &out, std::uint32_t process, std::uint32_t secret);
-void addNegotiateProtocolVersion(std::string &out); // NegotiateProtocolVersion: only 3.0 is spoken
-void addReadyForQuery(std::string &out);            // ReadyForQuery, outside a transaction
-void addEmptyQueryResponse(std::string &out);       // EmptyQueryResponse
+void addNegotiateProtocolVersion(std::string &out); // offers only version 3.0
+void addReadyForQuery(std::string &out);            // with the status "not in a transaction"
+void addEmptyQueryResponse(std::string &out);
 void addCommandComplete(std::string &out, std::string_view tag);
-void addRow(std::string &out, std::string_view column,
-            std::string_view value); // described, one column of text
+// RowDescription and DataRow with one column of type text.
+void addRow(std::string &out, std::string_view column, std::string_view value);
 
 struct ErrorFields {
   std::string_view severity = "ERROR";
@@ -87,7 +94,7 @@
   std::string_view message;
   std::string_view detail = {};
 };
-// ErrorResponse; empty fields are left out.
+// ErrorResponse; empty fields are omitted.
 void addError(std::string &out, const ErrorFields &fields);
 
 } // namespace myrtlehead::pg
--- a/src/format/pg/statement.cpp
+++ b/src/format/pg/statement.cpp
@@ -10,16 +10,18 @@
 namespace {
 
 constexpr std::int64_t kMaxTimeoutMs = 24LL * 3600 * 1000;
-constexpr std::size_t kMaxNameLength = 128; // of an id, a route or a key
+constexpr std::size_t kMaxNameLength = 128; // limit in bytes of an id, a route or a key
 
 constexpr const char *kSyntaxError = "42601";
 constexpr const char *kNotSupported = "0A000";
 constexpr const char *kInvalidEncoding = "22021";
 
-bool isBlank(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v'; }
+bool isWhitespace(char c) {
+  return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v';
+}
 char toLower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-// `word` in any case, `lowerCase` in lower case.
+// Compares the words without regard to case; `lowerCase` must be in lower case.
 bool isWord(std::string_view word, std::string_view lowerCase) {
   if (word.size() != lowerCase.size()) return false;
   for (std::size_t i = 0; i < word.size(); ++i)
@@ -28,44 +30,44 @@
 }
 
 std::string_view trimmed(std::string_view s) {
-  while (!s.empty() && isBlank(s.front())) s.remove_prefix(1);
-  while (!s.empty() && isBlank(s.back())) s.remove_suffix(1);
+  while (!s.empty() && isWhitespace(s.front())) s.remove_prefix(1);
+  while (!s.empty() && isWhitespace(s.back())) s.remove_suffix(1);
   return s;
 }
 
-// The parts of a statement: strings, comments, the words between them.
+// The parts of a statement: strings, comments, and the words between them.
 struct StatementParts {
-  bool isClosed = true;              // every string and comment is
-  bool hasSeveralStatements = false; // something stands behind a semicolon
+  bool isTerminated = true;          // every string and comment is terminated
+  bool hasSeveralStatements = false; // text other than comments and whitespace follows a semicolon
   std::string_view comment;          // the last block comment
-  int comments = 0;                  // of both kinds
-  std::string_view literal;          // the first in single quotes
-  std::string words;                 // what is outside of comments, blanks folded
+  int comments = 0;                  // number of comments of both kinds
+  std::string_view literal;          // content of the first string in single quotes
+  std::string words;                 // text outside of comments, with runs of whitespace collapsed
 };
 
-// The index behind the string that opens at `i`; `text.size()` + 1 where it never closes.
+// Returns the index after the string that opens at `i`, or `text.size()` + 1 if the string is not terminated.
 std::size_t endOfString(std::string_view text, std::size_t i) {
   const char quote = text[i];
   for (++i; i < text.size(); ++i) {
     if (text[i] != quote) continue;
     if (i + 1 < text.size() && text[i + 1] == quote)
-      ++i; // doubled: it stands for itself
+      ++i; // a doubled quote stands for a quote
     else
       return i + 1;
   }
   return text.size() + 1;
 }
 
-// The index behind the block comment that opens at `i`, which may nest; `text.size()` + 1 where it never
-// closes.
+// Returns the index after the block comment that opens at `i`, or `text.size()` + 1 if the comment is not
+// terminated. Block comments may be nested.
 std::size_t endOfComment(std::string_view text, std::size_t i) {
   int depth = 0;
   while (i + 1 < text.size()) {
-    const auto pair = text.substr(i, 2);
-    if (pair == "/*") {
+    const auto twoChars = text.substr(i, 2);
+    if (twoChars == "/*") {
       ++depth;
       i += 2;
-    } else if (pair == "*/") {
+    } else if (twoChars == "*/") {
       i += 2;
       if (--depth == 0) return i;
     } else {
@@ -77,22 +79,22 @@
 
 StatementParts scanStatement(std::string_view sql) {
   StatementParts out;
-  bool isTerminated = false;
+  bool hasSemicolon = false;
   for (std::size_t i = 0; i < sql.size();) {
     auto end = i + 1;
-    const auto pair = sql.substr(i, 2);
-    const bool isComment = pair == "--" || pair == "/*";
+    const auto twoChars = sql.substr(i, 2);
+    const bool isComment = twoChars == "--" || twoChars == "/*";
     out.comments += isComment;
     if (isComment && !out.words.empty() && out.words.back() != ' ') out.words += ' ';
-    if (pair == "--") {
+    if (twoChars == "--") {
       end = std::min(sql.find('\n', i), sql.size());
-    } else if (pair == "/*") {
+    } else if (twoChars == "/*") {
       end = endOfComment(sql, i);
       if (end <= sql.size()) out.comment = sql.substr(i + 2, end - i - 4);
     } else if (sql[i] == ';') {
-      isTerminated = true;
-    } else if (!isBlank(sql[i])) {
-      if (isTerminated) out.hasSeveralStatements = true;
+      hasSemicolon = true;
+    } else if (!isWhitespace(sql[i])) {
+      if (hasSemicolon) out.hasSeveralStatements = true;
       if (sql[i] == '\'' || sql[i] == '"') end = endOfString(sql, i);
       if (end <= sql.size() && sql[i] == '\'' && out.literal.data() == nullptr)
         out.literal = sql.substr(i + 1, end - i - 2);
@@ -100,31 +102,31 @@
     } else if (!out.words.empty() && out.words.back() != ' ') {
       out.words += ' ';
     }
-    if (end > sql.size()) out.isClosed = false;
+    if (end > sql.size()) out.isTerminated = false;
     i = end;
   }
   while (!out.words.empty() && out.words.back() == ' ') out.words.pop_back();
   return out;
 }
 
-// Guards against broken bytes, which would break the log and the endpoint's parser.
+// Rejects invalid UTF-8, which would corrupt the log and break the endpoint's parser.
 bool isValidUtf8(std::string_view s) {
   constexpr std::size_t kInvalid = 4;
   for (std::size_t i = 0; i < s.size();) {
     const auto c = static_cast<unsigned char>(s[i]);
-    const std::size_t tail = c < 0x80                 ? 0
-                             : c >= 0xc2 && c <= 0xdf ? 1
-                             : c >= 0xe0 && c <= 0xef ? 2
-                             : c >= 0xf0 && c <= 0xf4 ? 3
-                                                      : kInvalid;
-    if (tail == kInvalid || i + tail >= s.size()) return false;
-    for (std::size_t k = 1; k <= tail; ++k)
+    const std::size_t continuationBytes = c < 0x80                 ? 0
+                                          : c >= 0xc2 && c <= 0xdf ? 1
+                                          : c >= 0xe0 && c <= 0xef ? 2
+                                          : c >= 0xf0 && c <= 0xf4 ? 3
+                                                                   : kInvalid;
+    if (continuationBytes == kInvalid || i + continuationBytes >= s.size()) return false;
+    for (std::size_t k = 1; k <= continuationBytes; ++k)
       if ((static_cast<unsigned char>(s[i + k]) & 0xc0) != 0x80) return false;
-    const auto second = tail > 0 ? static_cast<unsigned char>(s[i + 1]) : 0;
+    const auto second = continuationBytes > 0 ? static_cast<unsigned char>(s[i + 1]) : 0;
     if ((c == 0xe0 && second < 0xa0) || (c == 0xed && second > 0x9f) || (c == 0xf0 && second < 0x90) ||
         (c == 0xf4 && second > 0x8f))
       return false;
-    i += tail + 1;
+    i += continuationBytes + 1;
   }
   return true;
 }
@@ -137,16 +139,18 @@
   return value;
 }
 
-// What ids, routes and keys are made of: nothing that could end a comment or a log line.
+// Checks the characters of ids, routes and keys. The set excludes everything that could end a comment or a
+// log line.
 bool isPlainName(std::string_view text) {
-  constexpr std::string_view kOther = "_-.:";
+  constexpr std::string_view kOtherCharacters = "_-.:";
   return !text.empty() && text.size() <= kMaxNameLength && std::all_of(text.begin(), text.end(), [&](char c) {
     return (toLower(c) >= 'a' && toLower(c) <= 'z') || (c >= '0' && c <= '9') ||
-           kOther.find(c) != kOther.npos;
+           kOtherCharacters.find(c) != kOtherCharacters.npos;
   });
 }
 
-// The next word of a statement without comments: a name, a string in quotes, or a single other byte.
+// Removes the next word of a statement without comments: a name, a string in quotes, or any other single
+// byte.
 std::string_view takeWord(std::string_view &in) {
   in = trimmed(in);
   if (in.empty()) return {};
@@ -163,16 +167,17 @@
   return word;
 }
 
-// `pattern` has % for any name and $ for any string; its other words are compared in any case.
+// Matches the words against `pattern`, in which % stands for any name and $ for any string. Other words are
+// compared without regard to case.
 bool matches(std::string_view pattern, std::string_view words) {
   for (auto expected = takeWord(pattern); !expected.empty(); expected = takeWord(pattern)) {
     const auto word = takeWord(words);
     if (word.empty()) return false;
     const char first = word[0];
-    const bool fits = expected == "%"   ? toLower(first) >= 'a' && toLower(first) <= 'z'
-                      : expected == "$" ? first == '\''
-                                        : isWord(word, expected);
-    if (!fits) return false;
+    const bool isMatch = expected == "%"   ? toLower(first) >= 'a' && toLower(first) <= 'z'
+                         : expected == "$" ? first == '\''
+                                           : isWord(word, expected);
+    if (!isMatch) return false;
   }
   return trimmed(words).empty();
 }
@@ -186,8 +191,8 @@
   return true;
 }
 
-// Items name=value, separated by commas. False where a name comes twice or is empty, a value can't be read,
-// or one of id, c (route) and d (patience) is missing. Other names are passed over.
+// Parses name=value items, separated by commas. Returns false if id, c, d or k is repeated, an item has no
+// name, a value is invalid, or one of id, c (route) and d (timeout) is missing. Unknown names are ignored.
 bool parseComment(std::string_view comment, Statement &out) {
   bool hasId = false;
   bool hasRoute = false;
@@ -219,7 +224,7 @@
   return hasId && hasRoute && hasTimeout;
 }
 
-// Hexadecimal digits by their value, anything else by its FNV-1a hash; 0 stands for none.
+// Returns the value of a key of hexadecimal digits, and the FNV-1a hash of any other key. 0 means no key.
 std::uint64_t rowKeyNumberOf(std::string_view rowKey) {
   constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
@@ -245,12 +250,14 @@
   s.text = sql;
   if (!isValidUtf8(sql)) return malformedStatement(s, kInvalidEncoding, "the statement is not valid UTF-8");
   const auto parts = scanStatement(sql);
-  if (!parts.isClosed) return malformedStatement(s, kSyntaxError, "a string or comment is not closed");
+  if (!parts.isTerminated)
+    return malformedStatement(s, kSyntaxError, "unterminated string or comment in the statement");
   if (parts.words.empty()) {
     s.kind = Statement::empty;
     return s;
   }
-  if (parts.hasSeveralStatements) return malformedStatement(s, kSyntaxError, "one statement per query");
+  if (parts.hasSeveralStatements)
+    return malformedStatement(s, kSyntaxError, "a query message must contain exactly one statement");
   const std::string_view words = parts.words;
   const auto verb = words.substr(0, words.find(' '));
   for (const char *word : {"set", "reset", "discard"}) {
@@ -263,17 +270,19 @@
     s.kind = Statement::ping;
     return s;
   }
-  // Guards against connections that endpoints close on what they can't read: only these two forms are
-  // forwarded.
+  // Only these two forms are forwarded, because endpoints close the connection on statements that they cannot
+  // parse.
   if (!matches("select % from % where % = $", words) &&
       !matches("insert into % (%, %) values ($, $) returning %", words))
-    return malformedStatement(s, kNotSupported,
-                              "only the SELECT and INSERT of one record, SET, RESET and DISCARD are served");
+    return malformedStatement(
+        s, kNotSupported,
+        "unsupported statement; supported are SELECT and INSERT of one record, SET, RESET and DISCARD");
   if (parts.comment.data() == nullptr || parts.comments != 1)
-    return malformedStatement(s, kSyntaxError, "a statement needs one comment: /* id=...,c=...,d=... */");
+    return malformedStatement(s, kSyntaxError,
+                              "the statement must contain exactly one comment: /* id=...,c=...,d=... */");
   if (!parseComment(parts.comment, s))
     return malformedStatement(s, kSyntaxError,
-                              "the comment must hold id, c and d once each, d in whole milliseconds");
+                              "the comment must contain id, c and d once each, with d in whole milliseconds");
   s.kind = Statement::request;
   s.rowKey = parts.literal;
   s.rowKeyNumber = rowKeyNumberOf(parts.literal);
@@ -281,15 +290,15 @@
 }
 
 Statement rebindStatement(const Statement &statement, std::string_view copy) {
-  const auto moved = [&](std::string_view part) {
+  const auto rebound = [&](std::string_view part) {
     if (part.data() == nullptr) return part;
     return copy.substr(static_cast<std::size_t>(part.data() - statement.text.data()), part.size());
   };
   Statement out = statement;
   out.text = copy;
-  out.id = moved(statement.id);
-  out.route = moved(statement.route);
-  out.rowKey = moved(statement.rowKey);
+  out.id = rebound(statement.id);
+  out.route = rebound(statement.route);
+  out.rowKey = rebound(statement.rowKey);
   return out;
 }
 
--- a/src/format/pg/statement.h
+++ b/src/format/pg/statement.h
@@ -1,4 +1,4 @@
-// A client's statement: what kind it is, and the fields of the comment that travels with a request.
+// Parses a client's SQL statement: its kind, and for a request the fields of its comment.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,34 @@
 
 struct Statement {
   enum Kind {
-    request,   // to be forwarded to an endpoint
-    empty,     // nothing but blanks and comments
-    session,   // SET, RESET, DISCARD: answered here, without effect
+    request,   // is forwarded to an endpoint
+    empty,     // only whitespace and comments
+    session,   // SET, RESET, DISCARD: answered by the gateway, without effect
     ping,      // SELECT 1
-    malformed, // answered with an error of `code` and `complaint`
+    malformed, // answered with an error: `sqlState` and `errorMessage`
   } kind = malformed;
   std::string_view text;
-  std::string_view verb;          // session: its first word, in lower case
-  std::string_view id;            // of the request
-  std::string_view route;         // its name
-  std::string_view rowKey;        // the key of the row, as it stands in quotes
-  std::uint64_t rowKeyNumber = 0; // of the row, as a number
-  std::int64_t timeoutMs = 0;
-  bool isRetry = false; // the client has sent this request before
-  // Where the digits of the patience stand in `text`.
+  std::string_view verb;          // first word in lower case; set for session
+  std::string_view id;            // request id: field id of the comment
+  std::string_view route;         // route name: field c of the comment
+  std::string_view rowKey;        // content of the quoted literal, not unescaped
+  std::uint64_t rowKeyNumber = 0; // numeric form of rowKey
+  std::int64_t timeoutMs = 0;     // client timeout: field d of the comment
+  bool isRetry = false;           // the client sends this request again: field r of the comment
+  // Position and length of the timeout's digits in `text`.
   std::size_t timeoutOffset = 0;
   std::size_t timeoutLength = 0;
-  const char *sqlState = "42601"; // SQLSTATE
+  const char *sqlState = "42601";
   const char *errorMessage = "";
 };
 
-// `sql` must outlive the statement, which refers to it.
+// Parses `sql`, which must outlive the returned statement, because the statement refers to it.
 Statement parseStatement(std::string_view sql);
 
-// The same statement, referring to `copy`, which has the characters of its text.
+// Returns the statement with its views moved to `copy`, which must have the same content as its text.
 Statement rebindStatement(const Statement &statement, std::string_view copy);
 
-// The text with another patience; nothing else of it changes.
+// Returns the statement's text with its timeout replaced by `ms`.
 std::string textWithTimeout(const Statement &statement, std::int64_t ms);
 
 } // namespace myrtlehead::pg
