--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -105,7 +105,7 @@
 int resolve(const CommandLine &line) {
   const auto servers = parseServers(line.servers);
   for (const auto &name : line.names)
-    if (!dns::canonical(name)) throw CLI::ValidationError("NAME", "'" + name + "' is not a domain name");
+    if (!dns::canonicalName(name)) throw CLI::ValidationError("NAME", "'" + name + "' is not a domain name");
   const auto timeout = settings::parseDuration(line.within);
   if (!timeout)
     throw CLI::ValidationError("--within", "'" + line.within + "' is not a duration such as 5s or 250ms");
