--- a/src/cluster/job_executor.cpp
+++ b/src/cluster/job_executor.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The text for an outcome in a job's reason. These texts are stored in job records and reported to clients.
+// The text for an outcome in a job's reason. All reasons in this file are stored in job records and reported
+// to clients.
 const char *reasonFor(Outcome outcome) {
   constexpr const char *kReasons[] = {"completed",   "errored", "turned away", "timed out",
                                       "unreachable", "reset",   "cancelled",   "not sent"};
--- a/src/cluster/job_record.h
+++ b/src/cluster/job_record.h
@@ -12,10 +12,11 @@
 // The statement that the job executes at an endpoint: it reads or writes one row.
 struct JobStatement {
   std::string submitter;
-  std::string idempotencyKey; // chosen by the submitter ("mark" in JSON); identifies the job with `submitter`
-  std::string route;          // the name of one of the deployment's routes
-  std::string rowKey;         // hexadecimal
-  std::string rowValue;       // hexadecimal; empty if the statement reads the row
+  // Chosen by the submitter; "mark" in JSON. The submitter and this key together identify the job.
+  std::string idempotencyKey;
+  std::string route;    // the name of one of the deployment's routes
+  std::string rowKey;   // hexadecimal
+  std::string rowValue; // hexadecimal; empty if the statement reads the row
   bool operator==(const JobStatement &) const = default;
 };
 
--- a/src/cluster/job_server.cpp
+++ b/src/cluster/job_server.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr int kMaxConnections = 256; // further connections are closed as soon as they are accepted
-constexpr Nanoseconds kAcceptTimeout = kSecond;
+constexpr int kMaxConnections = 256;            // further connections are closed as soon as they are accepted
+constexpr Nanoseconds kAcceptTimeout = kSecond; // after it, accepting is tried again
 
 bool isJobTarget(const std::string &target) {
   constexpr std::size_t kPrefixLength = 6; // "/jobs/"
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -23,7 +23,7 @@
   std::vector<Member> members; // all members, this instance included
   job_lease::LeaseSettings leaseSettings;
   int maxOpenJobs = 1000; // submissions are rejected while this many jobs are open
-  int maxRunningJobs = 4; // the number of jobs that this instance executes at the same time
+  int maxRunningJobs = 4; // the maximum number of jobs that this instance executes at the same time
   bool operator==(const Membership &) const = default;
 };
 
--- a/src/cluster/register_store.cpp
+++ b/src/cluster/register_store.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::uint64_t kFormatVersion = 1;
 constexpr std::size_t kMaxBatchWrites = 512; // the largest number of writes in one transaction
-// 0.5 ms, which is short compared with the time that a disk needs to synchronise a write.
+// The interval between two reads of finishedEventFd_: 0.5 ms, which is short compared with the time that a
+// disk needs to synchronise a write.
 constexpr sched::Nanoseconds kFinishedPollInterval = 500'000;
 
 void writeRegister(sqlite3 *db, const std::string &key, const consensus::AcceptorState &state) {
@@ -55,8 +56,8 @@
     : sched_(sched), path_(folder + "/ledger.db") {
   createWritableFolder(folder);
   openOrSetAside(memberName, unixNow);
-  finishedEvent_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (finishedEvent_ < 0) throw std::runtime_error("the register store can't create an eventfd");
+  finishedEventFd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  if (finishedEventFd_ < 0) throw std::runtime_error("the register store can't create an eventfd");
   writer_ = std::thread([this] { runWriter(); });
 }
 
@@ -68,7 +69,7 @@
   writerWake_.notify_one();
   writer_.join();
   sqlite3_close(db_);
-  close(finishedEvent_);
+  close(finishedEventFd_);
 }
 
 void SqliteRegisterStore::openOrSetAside(const std::string &memberName, std::uint64_t unixNow) {
@@ -173,7 +174,7 @@
 sched::Task<> SqliteRegisterStore::notifyPersisted() {
   for (;;) {
     std::uint64_t finishedBatches = 0;
-    if (read(finishedEvent_, &finishedBatches, sizeof finishedBatches) != sizeof finishedBatches) {
+    if (read(finishedEventFd_, &finishedBatches, sizeof finishedBatches) != sizeof finishedBatches) {
       co_await sched_.sleep(kFinishedPollInterval);
       continue;
     }
@@ -200,7 +201,7 @@
       for (auto &write : batch) finishedWrites_.push_back(std::move(write));
     }
     const std::uint64_t one = 1;
-    (void)!::write(finishedEvent_, &one, sizeof one);
+    (void)!::write(finishedEventFd_, &one, sizeof one);
   }
 }
 
--- a/src/cluster/register_store.h
+++ b/src/cluster/register_store.h
@@ -86,8 +86,8 @@
   std::string path_;
   std::optional<StorageError> setAsideReason_;
   sqlite3 *db_ = nullptr;
-  int finishedEvent_ = -1; // an eventfd, which the writer thread signals after each batch
-  std::mutex mutex_;       // guards pendingWrites_, finishedWrites_ and isClosing_
+  int finishedEventFd_ = -1; // an eventfd, which the writer thread signals after each batch
+  std::mutex mutex_;         // guards pendingWrites_, finishedWrites_ and isClosing_
   std::condition_variable writerWake_;
   Writes pendingWrites_;
   Writes finishedWrites_;
--- a/src/policy/consensus_register.h
+++ b/src/policy/consensus_register.h
@@ -40,8 +40,8 @@
 struct AcceptorReply {
   bool granted = false;
   Ballot highestPromised;
-  // The last accepted proposal is `accepted` and `value` in the reply to a granted prepare. `value` is empty
-  // in every other reply.
+  // In the reply to a granted prepare, the ballot and the value of the last accepted proposal. In every other
+  // reply, `value` is empty.
   Ballot accepted;
   std::string value;
 };
--- a/src/policy/deployment.h
+++ b/src/policy/deployment.h
@@ -17,8 +17,9 @@
 
 struct Route {
   Nanoseconds latencyObjective = 0;
-  Nanoseconds idempotencyWindow = 0; // how long endpoints remember a key, starting at the first attempt
-  double priorityWeight = 1;         // requests with a greater weight are shed later
+  // How long endpoints remember a key, counted from the first attempt that may have been executed.
+  Nanoseconds idempotencyWindow = 0;
+  double priorityWeight = 1; // requests with a greater weight are shed later
   Idempotency idempotency = Idempotency::idempotent;
   IdempotencyScope idempotencyScope = IdempotencyScope::anywhere;
 };
--- a/src/policy/discovery_subscription.h
+++ b/src/policy/discovery_subscription.h
@@ -2,9 +2,9 @@
 // that is no longer updated. No I/O: time and jitter are arguments.
 //
 // Terms: a poll is a request for the list. Once answered it becomes a watch, which sends watch events and,
-// while nothing changes, keep-alives. A call is a poll or the watch that it has become, so the next call to
-// send is always a poll. Discovery is one service for the whole fleet, so polls that all instances would make
-// at the same moment are spread over the available time, by instance index and jitter.
+// while nothing changes, keep-alives. A call is a poll or the watch that the poll has become. To send a call
+// is therefore to send a poll. Discovery is one service for the whole fleet, so polls that all instances
+// would make at the same moment are spread over the available time, by instance index and jitter.
 #pragma once
 
 #include "policy/deployment.h"
@@ -50,9 +50,10 @@
 
   // Notifications. `jitter` is uniformly random in [0, 1).
   void onCallSent(Nanoseconds now);
-  void onAnswered(); // the watch is open, so no call is due
-  // A watch event or a keep-alive was received. Messages from a previous address are ignored, since that
-  // server may be out of date.
+  // The poll was answered and has become a watch. No call is due before the first message of the watch.
+  void onAnswered();
+  // A watch event or a keep-alive was received. The next call is due if no further message arrives in time.
+  // Messages from a previous address are ignored, since that server may be out of date.
   void onMessage(MessageSource source, Nanoseconds now, double jitter);
   void onClosed(CallEnd end, OtherCalls others, Nanoseconds now, double jitter);
   // Discovery has a new address.
@@ -64,10 +65,10 @@
   // Returns 0 if the list is up to date. Otherwise requests may be forwarded only to endpoints that have
   // answered an attempt sent at the returned time or later; kNoProofAccepted: to no endpoint.
   //
-  // Discovery counts this instance as notified of a change a fixed time after the change, whether or not the
-  // notification arrived. From then on the list may contain an endpoint whose removal this instance missed
-  // because the watch was silent, was closed or was never opened. An endpoint that has just answered a
-  // request was not being removed. If the list has never been received, DNS records replace it.
+  // The operators' rules count this instance as notified of a change a fixed time after the change, whether
+  // or not the notification arrived. From then on the list may contain an endpoint whose removal this
+  // instance missed because the watch was silent, was closed or was never opened. An endpoint that has just
+  // answered a request was not being removed. If the list has never been received, DNS records replace it.
   Nanoseconds proofRequiredSince(Nanoseconds now, EndpointSources sources = EndpointSources::discovery) const;
 
 private:
--- a/src/policy/dns_lookup.cpp
+++ b/src/policy/dns_lookup.cpp
@@ -10,8 +10,8 @@
 constexpr int kFailuresBeforeBackoff = 2; // consecutive failures of one server
 constexpr Nanoseconds kFirstBackoff = kSecond;
 constexpr Nanoseconds kMaxBackoff = 60 * kSecond;
-constexpr int kMaxBackoffDoublings = 10;
-constexpr int kMaxTimeoutDoublings = 3;
+constexpr int kMaxBackoffDoublings = 10; // avoids an undefined shift; kMaxBackoff is reached earlier
+constexpr int kMaxTimeoutDoublings = 3;  // the timeout of later queries stays the same
 constexpr Nanoseconds kMinTcpTimeout = 2 * kSecond; // includes the time to open the connection
 
 // Removes the leading labels that begin with an underscore: the zone of "_pg._tcp.maps.example" is
@@ -74,7 +74,7 @@
   return query_;
 }
 
-// Guards against forged responses: if a UDP response changes the letter case of the query, the query is
+// Rejects responses that may be forged: if a UDP response changes the letter case of the query, the query is
 // repeated over TCP, where an attacker outside the connection cannot inject a response.
 void Lookup::onResponse(const dns::Message &message, LetterCase letterCase, Nanoseconds now) {
   const bool isTcp = query_.transport == Transport::tcp;
--- a/src/policy/dns_lookup.h
+++ b/src/policy/dns_lookup.h
@@ -13,8 +13,8 @@
 namespace myrtlehead::dns_resolution {
 
 constexpr int kMaxAliases = 8; // CNAME records followed in one look-up
-// The first truncated TCP response of a look-up is retried; from this number on, each fails its query. A
-// correct server sends none.
+// The truncated TCP response with this number fails its query, as does each later one of the same look-up.
+// Earlier ones are retried over TCP. A correct server does not truncate responses over TCP.
 constexpr int kMaxTcpTruncations = 2;
 
 // Selects among the DNS servers of an instance and backs off from servers that fail.
@@ -57,6 +57,7 @@
 // Result of a look-up: records, one of the two negative answers (RFC 2308), or a failure.
 enum class LookupResult { records, nxDomain, noData, failed };
 
+// Value of LookupOutcome::ttl: the server gave no TTL.
 constexpr Nanoseconds kNoTtl = -1;
 
 struct LookupOutcome {
@@ -93,7 +94,7 @@
   void acceptAdditional(const dns::Message &message);
 
   dns::Question question_;
-  dns::Question currentQuestion_; // question_, with the last alias followed as the name
+  dns::Question currentQuestion_; // question_, but for the target of the last alias followed
   const ResolutionSettings &settings_;
   DnsServers &servers_;
   std::vector<int> attemptsByServer_;
--- a/src/policy/dns_settings.h
+++ b/src/policy/dns_settings.h
@@ -13,8 +13,11 @@
   Nanoseconds maxTtl = 3'600'000'000'000;
   Nanoseconds staleTime = 3 * 86'400'000'000'000;  // how long an answer is used after its TTL has ended
   Nanoseconds defaultNegativeTtl = 60'000'000'000; // TTL of an answer that gives none
-  Nanoseconds firstTimeout = 400'000'000;          // timeout of the first query; doubles with each retry
-  int maxAttempts = 5;                             // attempts of one look-up, over all DNS servers
+  // Timeout of the first query. It doubles with each of the first three retries.
+  Nanoseconds firstTimeout = 400'000'000;
+  // Queries over UDP for one name, over all DNS servers. They are counted anew if an alias leads to a name
+  // that needs a query of its own.
+  int maxAttempts = 5;
   // Limits of the delay before the next look-up after a failed one.
   Nanoseconds minBackoff = 1'000'000'000;
   Nanoseconds maxBackoff = 30'000'000'000;
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -33,7 +33,8 @@
   Nanoseconds receivedAt = 0;
 };
 
-// Written by OutlierDetector, except for peerSuspicionUntil, which the owner of OutlierGossip writes.
+// Written by OutlierDetector, except for peerSuspicionUntil, which the caller of RoutingPolicy sets
+// from OutlierGossip.
 struct EndpointHealth {
   double failureRate = 0;       // moving average: share of this instance's attempts that failed
   int consecutiveFailures = 0;  // hard failures and rejections since the last other outcome
--- a/src/policy/endpoint_merge.cpp
+++ b/src/policy/endpoint_merge.cpp
@@ -172,6 +172,7 @@
       statistics_.drainingButInDns += !ready;
       out.push_back(entry);
     } else {
+      // If a subset is used, the endpoint may be missing only because its target is not in the subset.
       statistics_.listedNotInDns += ready && hasDnsAnswer && usesAllTargets_;
       listOnly.push_back(&entry);
       listOnlyAddresses.push_back(entry.address);
--- a/src/policy/endpoint_merge.h
+++ b/src/policy/endpoint_merge.h
@@ -27,8 +27,8 @@
   bool operator==(const MergeSettings &) const = default;
 };
 
-// Statistics of the latest merge: its size, disagreements between the endpoint list and DNS records, and its
-// condition.
+// Statistics of the latest merge: its size, disagreements between the endpoint list and DNS records, and
+// whether its sources are up to date.
 struct MergeStatistics {
   std::size_t endpoints = 0;        // endpoints in service
   std::size_t listed = 0;           // endpoints that the list has in service
--- a/src/policy/exposure_budget.cpp
+++ b/src/policy/exposure_budget.cpp
@@ -21,7 +21,7 @@
 }
 
 // The lowest exposure cap of all ready candidates and of the newest announced build. If that build is no
-// longer a candidate, the cap of the build after it is used instead.
+// longer a candidate, the cap of the build after it is used instead, which is the cap of the first stage.
 double ExposureBudget::lowestCap() const {
   const int newest = rollout_.isKnown() ? rollout_.state().build : 0;
   double cap = rollout_.isCandidate(newest) ? rollout_.exposureCap(newest) : rollout_.exposureCap(newest + 1);
--- a/src/policy/fusion_center.cpp
+++ b/src/policy/fusion_center.cpp
@@ -96,8 +96,9 @@
 }
 
 // The CUSUM with the contributions of the worst quarter of the build's endpoints replaced by the average of
-// the rest. Guards a good build against a few faulty machines. Limitation: a build that fails on few machines
-// only is not judged bad; the outlier detector ejects those machines one by one.
+// the rest. This prevents a good build from being judged bad because of a few faulty machines. Limitation: a
+// build that fails on few machines only is not judged bad; the outlier detector ejects those machines one by
+// one.
 double FusionCenter::cusumWithoutOutliers(const Channel &channel) const {
   const auto count = countEndpointsOfBuild();
   if (count.all < kMinEndpointsForOutliers) return channel.cusum;
--- a/src/policy/fusion_center.h
+++ b/src/policy/fusion_center.h
@@ -33,7 +33,8 @@
   bool isJudgedBad() const { return isJudgedBad_; }
   // The CUSUM at which the build is judged bad. It grows with the number of outcomes of the stage.
   double threshold() const;
-  // The highest CUSUM of all channels, outlying endpoints discounted.
+  // The highest CUSUM of all channels, with the contributions of outlying endpoints replaced by the average
+  // of the others.
   double highestCusum() const;
   // Outcomes reported in the present stage.
   double stageOutcomes() const { return stageOutcomes_; }
--- a/src/policy/graceful_shutdown.h
+++ b/src/policy/graceful_shutdown.h
@@ -1,6 +1,7 @@
-// Deadlines of a graceful shutdown of the client-facing side. The platform keeps sending new connections and
-// requests for 0.4 s after it has asked for the shutdown. A request that arrives more than 0.7 s after that
-// moment is not guaranteed an answer before the process is killed. No I/O; time is an argument.
+// Deadlines of a graceful shutdown of the connections to clients. The platform keeps sending new connections
+// and requests for 0.4 s after it has asked for the shutdown. A request that arrives more than 0.7 s after
+// the platform has asked is not guaranteed an answer before the process is killed. No I/O; time is an
+// argument.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/host_addresses.h
+++ b/src/policy/host_addresses.h
@@ -21,9 +21,10 @@
 
 struct HostState {
   std::vector<ResolvedAddress> addresses;
-  int release = -1;                   // from the TXT record; -1: unknown
-  int consecutiveNegativeAnswers = 0; // address look-ups
-  bool isInUse = false;               // whether markInUse() was called since clearInUse()
+  int release = -1; // from the TXT record; -1: unknown
+  // Negative answers to address look-ups since the last answer with addresses.
+  int consecutiveNegativeAnswers = 0;
+  bool isInUse = false; // whether markInUse() was called since clearInUse()
 };
 
 class HostAddresses {
--- a/src/policy/job_lease.cpp
+++ b/src/policy/job_lease.cpp
@@ -98,8 +98,8 @@
     return finishJob(std::move(job), JobState::done, result.reason);
   bool mayRequeue = mayRestart(job, now, settings);
   if (result.outcome == ExecutionOutcome::neverExecuted) {
-    // The job is treated as not started, except that the start counts towards `maxStarts`, which bounds the
-    // number of attempts.
+    // The job is treated as not started, so the idempotency window has not begun if this was its only start.
+    // The start still counts towards `maxStarts`, which bounds the number of attempts.
     if (job.starts <= 1) job.firstStartedAt = 0;
     mayRequeue = job.starts < settings.maxStarts;
   }
--- a/src/policy/latency_tracker.cpp
+++ b/src/policy/latency_tracker.cpp
@@ -8,7 +8,7 @@
 constexpr double kOverallMeanWeight = kEndpointMeanWeight / 4; // weight of the newest sample
 constexpr double kQuartileStep = 0.1; // relative change of a quartile's estimate per sample
 constexpr int kTimeoutPenalty = 2;    // factor on a timeout's duration: the answer would have come later
-constexpr double kSlowZoneRatio = 3;  // other zones are slow above this multiple of the own quartile
+constexpr double kSlowZoneRatio = 3;  // other zones are slow above this multiple of the own zone's quartile
 
 } // namespace
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -12,8 +12,8 @@
 // again.
 constexpr Nanoseconds kLatencyPenaltyHalfLife = 5 * kSecond;
 constexpr Nanoseconds kLoadReportLifetime = kSecond;
-constexpr double kFailureRateWeight = 10; // added to the load factor at a failure rate of 1
-constexpr double kCrossZoneWeight = 10;   // added to the load factor per point of the cross-zone cost
+constexpr double kFailureRateWeight = 10; // added to the factor on the load at a failure rate of 1
+constexpr double kCrossZoneWeight = 10;   // added to the factor on the load per point of crossZoneCost
 constexpr int kMaxRejectedDraws = 16;
 constexpr double kSlowZoneRequestShare = 0.05; // share of the requests that may still go to slow zones
 
--- a/src/policy/loss_retention.h
+++ b/src/policy/loss_retention.h
@@ -21,7 +21,7 @@
 class LossRetention {
 public:
   // Returns whether an answer that omits `missing` of `previous` targets is a sudden loss, as opposed to an
-  // ordinary change.
+  // ordinary change. An answer without records always is.
   static bool isSudden(DnsRecordsResult result, std::size_t previous, std::size_t missing);
 
   // Counts an answer that shows the loss. Returns true if enough answers have confirmed the loss or the
--- a/src/policy/outlier_gossip.cpp
+++ b/src/policy/outlier_gossip.cpp
@@ -86,7 +86,8 @@
   }
 }
 
-// Removes and returns the observations of failed endpoints, most failures first, as many as a message holds.
+// Returns the observations of failed endpoints, most failures first, as many as a message holds. Discards all
+// other observations.
 std::vector<EndpointObservations> OutlierGossip::takeWorstObservations() {
   std::vector<EndpointObservations> out;
   for (const auto &[fingerprint, observations] : observations_)
@@ -132,7 +133,7 @@
   reports.updatedAt = now;
 }
 
-// Guards memory against peers that report endpoints which do not exist.
+// Bounds the memory that peers can use up by reporting endpoints that do not exist.
 bool OutlierGossip::mayTrack(EndpointFingerprint fingerprint) const {
   return reports_.size() < kMaxTrackedEndpoints || reports_.contains(fingerprint);
 }
@@ -172,8 +173,8 @@
   reports.succeeded = 0;
 }
 
-// Guards against endpoints that fail or have disappeared, while each instance alone sends them too few
-// attempts to detect it. Limitation: an endpoint that fails only for some instances is suspected by all of
+// Detects endpoints that fail or have disappeared although each instance alone sends them too few attempts to
+// detect it. Limitation: an endpoint that fails only for some instances is suspected by all of
 // them; a success of an instance's own attempt ends its suspicion.
 void OutlierGossip::onGossip(int from, const GossipMessage &message, Nanoseconds now, RandomEngine &random) {
   if (from < 0 || from >= instanceCount_ || from == ownIndex_) return;
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -11,7 +11,8 @@
 
 constexpr double kMaxLatencyRatio = 1.5; // upper limit of the ratio, and the ratio of a timed-out attempt
 constexpr double kMedianStep = 0.02;     // change of the median's estimate per outcome
-// Upper limit of the mean latency ratio as a multiple of its median. A few attempts cause a greater mean.
+// Upper limit of the mean latency ratio as a multiple of its median. A greater mean is
+// attributed to a few lost attempts.
 constexpr double kMaxMeanOverMedian = 2.5;
 constexpr double kRateAveragingSeconds = 0.5; // for attempts in flight and the completion rate
 constexpr double kObjectiveWeight = 0.1 / 4;  // weight of the newest request
--- a/src/policy/overload_controller.h
+++ b/src/policy/overload_controller.h
@@ -1,10 +1,11 @@
 // Sheds a share of the requests while attempts take too long, low priority first, whatever the cause of the
 // overload.
 //
-// By Little's law, the number of attempts in flight divided by the completion rate estimates the latency
-// before late attempts complete. A proportional-integral controller derives the share to shed from the ratio
-// of this estimate to the latency objective. The median latency of the outcomes caps the estimate, so that a
-// few lost attempts cause no shedding. Limitation: the controller reacts late if traffic is low.
+// By Little's law, the number of attempts in flight divided by the completion rate is an estimate of the
+// latency that does not have to wait for late attempts to complete. A proportional-integral controller
+// derives the share to shed from the ratio of this estimate to the latency objective. The median latency of
+// the outcomes caps the estimate, so that a few lost attempts cause no shedding. Limitation: the controller
+// reacts late if traffic is low.
 #pragma once
 
 #include "policy/deployment.h"
@@ -28,7 +29,8 @@
   void onOutcome(Outcome outcome);
   // Must be called after each attempt that was not delayed by a stall of this instance.
   void onTimelyOutcome(const Route &route, Outcome outcome, Nanoseconds duration);
-  // Updates the shed share from the completions since the last call. Must be called often.
+  // Updates the shed share from the completions since the last call. Must be called often; RoutingPolicy
+  // calls it at least every dueTaskInterval().
   void update(Nanoseconds now, DueActions &due);
 
   // The probability with which to shed the request, from 0 to 1.
--- a/src/policy/priority_selector.cpp
+++ b/src/policy/priority_selector.cpp
@@ -68,7 +68,7 @@
     if (draw < shares_[i]) return static_cast<int>(i);
     draw -= shares_[i];
   }
-  return 0;
+  return 0; // there are no groups, or the sum of the shares was rounded down
 }
 
 } // namespace myrtlehead::priority_selector
--- a/src/policy/random.h
+++ b/src/policy/random.h
@@ -1,5 +1,6 @@
-// Random numbers for the routing policy. Each instance has one engine, seeded from its configuration, so that
-// runs are reproducible. Decisions depend on the order of the draws.
+// Random numbers for the routing policy. RoutingPolicy has one engine and Router has three more. All of them
+// are seeded from the instance's seed, so that runs are reproducible. Decisions depend on the order of the
+// draws.
 #pragma once
 
 #include <random>
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -28,7 +28,8 @@
   // Whether a request that found no endpoint has waited for the maximum time.
   bool isQueuedTooLong(const Request &request, Nanoseconds now) const;
   bool mayRetry(const Request &request, Nanoseconds now) const;
-  // The time by which the last byte of the next attempt must be sent; kNoDeadline: at any time.
+  // The time by which the last byte of the next attempt must be sent; kNoDeadline: at any time;
+  // 0: no further attempt may be sent.
   Nanoseconds sendBy(const Request &request) const;
   // The maximum duration of the next attempt if it is sent to the endpoint.
   Nanoseconds attemptTimeout(const Request &request, const Endpoint &endpoint, Nanoseconds now) const;
@@ -37,8 +38,8 @@
   bool allows(const Request &request, const Endpoint &endpoint) const;
   // The decision that ends the request without an answer: shed if a retry by the client is safe, else fail.
   RoutingDecision giveUp(const Request &request) const;
-  // Whether a timed-out attempt ran for at least half the timeout of a suspect endpoint, which is a quarter
-  // of the latency objective. A shorter attempt is no evidence against the endpoint.
+  // Whether a timed-out attempt ran for at least a quarter of the latency objective, which is half the
+  // timeout of an attempt at a suspect endpoint. A shorter attempt is no evidence against the endpoint.
   static bool ranLongEnoughForEvidence(Nanoseconds duration, Nanoseconds latencyObjective);
 
 private:
--- a/src/policy/rollout_tracker.h
+++ b/src/policy/rollout_tracker.h
@@ -18,7 +18,7 @@
     bool isChanged = false;  // build, stage or phase has changed
     bool isFirst = false;    // no state was known before
   };
-  // Takes over the state and returns what has changed.
+  // Stores the state and returns what has changed.
   Change onState(const RolloutState &state, Nanoseconds now);
 
   bool isKnown() const { return isKnown_; }
--- a/src/policy/rollout_voter.cpp
+++ b/src/policy/rollout_voter.cpp
@@ -13,7 +13,7 @@
 // announced position to promote is withdrawn only above the second one.
 constexpr double kDoubtShare = 0.5;
 constexpr double kWithdrawalShare = 0.8;
-// No vote to promote within this time of the newest start of an endpoint of the build.
+// No vote to promote is cast within this time after the newest of the build's endpoints has started.
 constexpr Nanoseconds kQuietBeforePromotion = 3 * kSecond;
 // How long the endpoint list may take to show the first endpoint of a stage.
 constexpr Nanoseconds kStageListingTimeout = 12 * kSecond;
@@ -60,7 +60,7 @@
   return newest;
 }
 
-// Guards against promoting while the endpoint list lags behind the rollout: an endpoint that started in this
+// Prevents a promotion while the endpoint list lags behind the rollout: an endpoint that started in this
 // stage must be listed, or the time for listing it must be over.
 bool RolloutVoter::hasSeenStageEndpoints(Nanoseconds newestStart, Nanoseconds now) const {
   return newestStart >= rollout_.stageStartedAt() || now - rollout_.stageStartedAt() >= kStageListingTimeout;
--- a/src/policy/rollout_voter.h
+++ b/src/policy/rollout_voter.h
@@ -20,15 +20,16 @@
   // A peer has announced its position. Only the positions of fusion centers are kept.
   void onPosition(int from, const Vote &position, Nanoseconds now);
   void onVoteReply(VoteReply reply, Nanoseconds now, RandomEngine &random);
-  // Sends a fusion center's own position if it has changed or its last announcement is too old.
+  // Sends a fusion center's own position if it has changed or its last announcement is too old. An unchanged
+  // abstention is not repeated.
   void announcePosition(Nanoseconds now, DueActions &due);
   // Casts a vote once this instance's turn has come, if the verdict has changed or the earlier vote is about
   // to lapse.
   void castVote(Nanoseconds now, DueActions &due);
   // Ends the evaluation of a build that has been released for a while and is not in doubt, which makes it the
-  // baseline of the next build. Guards against blaming the build for trouble of the whole fleet long after
-  // the release, when there is no baseline left to compare it with. Limitation: a build that turns bad after
-  // that is not detected.
+  // baseline of the next build. Otherwise the build could be judged bad because of a fault of the whole fleet
+  // long after the release, when there is no baseline left to compare it with. Limitation: a build that turns
+  // bad after that is not detected.
   void endEvaluationAfterRelease(RolloutTracker &rollout, Nanoseconds now) const;
 
 private:
--- a/src/policy/sequential_test.h
+++ b/src/policy/sequential_test.h
@@ -7,10 +7,10 @@
 // that has changed by a fixed step since its last report is reported at once and restarts at 0. Smaller
 // remainders are reported once a second.
 //
-// Control variate: guards against faults that both builds share, and against a baseline whose rate is known
-// from few outcomes only. The baseline's deviation from its expected log-likelihood over the last two seconds
-// is subtracted, scaled by the ratio of candidate to baseline outcomes. The expected value of the test does
-// not change (docs/design.md).
+// Control variate: the baseline's deviation from its expected log-likelihood over the last two seconds is
+// subtracted, scaled by the ratio of candidate to baseline outcomes. This prevents the build from being
+// judged by faults that both builds share, or by a baseline rate that is estimated from few outcomes only.
+// The expected value of the test does not change (docs/design.md).
 #pragma once
 
 #include "policy/deployment.h"
@@ -50,7 +50,7 @@
 
   // Channel 0 holds all outcomes, the next ones hold one route each, and the last one holds wrong answers.
   static std::size_t channelCount(const Deployment &deployment) { return deployment.routes.size() + 2; }
-  // Within this time of an endpoint's start, only errors are evidence.
+  // Only errors are evidence within the warm-up time after an endpoint's start, but for this time at most.
   static constexpr Nanoseconds kMaxColdPeriod = 5 * kSecond;
 
 private:
--- a/src/policy/srv_record_set.cpp
+++ b/src/policy/srv_record_set.cpp
@@ -43,6 +43,7 @@
   isConfirmedEmpty_ = std::all_of(targets_.begin(), targets_.end(), [](const auto &target) {
     return target.second.isMissing || !target.second.isPresent;
   });
+  // If the zone states that the service is not available, its former targets must not be used.
   const bool mayServe = isConfirmedEmpty_ && result != DnsRecordsResult::notAvailable;
   lastResortUntil_ = mayServe ? now + staleTime : 0;
   removeMissing(now);
--- a/src/policy/srv_record_set.h
+++ b/src/policy/srv_record_set.h
@@ -18,7 +18,7 @@
   bool isPresent = false;        // in the record set; also true for a retained target
   bool isMissing = false;        // present, but omitted by the latest answer
   bool wasInFirstAnswer = false; // its endpoint started before the first answer
-  Nanoseconds removedAt = 0;     // 0: present, or never seen
+  Nanoseconds removedAt = 0;     // 0: the target is present
   FlapHistory flaps;
 };
 
@@ -34,7 +34,7 @@
   NextLookup onAnswer(DnsRecordsResult result, const std::vector<Target> &targets, Nanoseconds validUntil,
                       Nanoseconds now, const LossRetentionSettings &retention,
                       const FlapDampingSettings &damping, Nanoseconds staleTime);
-  // Removes the retained targets if the retention time has ended. Returns whether it has.
+  // Removes the retained targets if the retention time has ended. Returns whether the time has ended.
   bool expireRetention(Nanoseconds now, const LossRetentionSettings &retention, Nanoseconds staleTime);
   // Forgets targets that were removed more than `memoryTime` ago, unless they may be used as a last resort.
   void forgetRemoved(Nanoseconds now, Nanoseconds memoryTime);
--- a/src/policy/time.h
+++ b/src/policy/time.h
@@ -1,4 +1,5 @@
-// Points in time and durations in nanoseconds. Points in time are readings of the instance's own clock.
+// Points in time and durations in nanoseconds. Points in time are readings of the instance's own clock,
+// unless a comment says that they are Unix times.
 #pragma once
 
 #include <cstdint>
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Nanoseconds kEndpointRetention = 120 * kSecond; // twice the default of the longest route timeout
-constexpr std::uint16_t kFingerprintCount = 0xffff;
+constexpr std::uint16_t kFingerprintCount = 0xffff;       // fingerprints are 1 to 0xffff; 0 means none
 
 std::uint16_t fingerprintOf(const std::string &name) {
   return static_cast<std::uint16_t>(1 + XXH64(name.data(), name.size(), 0) % kFingerprintCount);
@@ -25,6 +25,8 @@
   request_.isClientRetry = isClientRetry;
 }
 
+// Each engine of random numbers has its own seed, so that the draws for one purpose don't change the
+// decisions for another. The value seed + 2 is not used.
 Router::Router(sched::Scheduler &sched, Deployment deployment, std::uint64_t seed, log::Log &log)
     : sched_(sched), log_(log), policy_(std::move(deployment), seed, sched.now()), priorityRandom_(seed + 1),
       gossip_(policy_.deployment().ownIndex, policy_.deployment().instanceCount, policy_.deployment().zone),
@@ -58,7 +60,7 @@
 
 sched::Task<AttemptDecision> Router::nextAttempt(RequestContext &context,
                                                  sched::CancellationToken &cancellation) {
-  if (cancellation.isCancelled()) co_return AttemptDecision{}; // the client is gone
+  if (cancellation.isCancelled()) co_return AttemptDecision{};
   auto &request = context.request_;
   if (prioritySelector_.groupCount() > 1)
     request.priorityGroup = prioritySelector_.select(drawForPriorityGroup());
@@ -163,13 +165,13 @@
   std::unordered_map<std::string_view, UpstreamEndpoint *> byAddress;
   for (auto &endpoint : endpoints_)
     if (endpoint.isReady) byAddress[endpoint.address] = &endpoint;
-  std::unordered_map<std::string_view, const Entry *> entryNamed;
-  for (const auto &entry : entries) entryNamed[entry.name] = &entry;
+  std::unordered_map<std::string_view, const Entry *> entriesByName;
+  for (const auto &entry : entries) entriesByName[entry.name] = &entry;
   for (const auto &entry : entries) {
     const auto found = byAddress.find(entry.address);
     if (found == byAddress.end() || found->second->name == entry.name) continue;
     auto &endpoint = *found->second;
-    if (endpointsByName_.contains(entry.name) || entryNamed.contains(endpoint.name)) continue;
+    if (endpointsByName_.contains(entry.name) || entriesByName.contains(endpoint.name)) continue;
     endpointsByName_.erase(endpoint.name);
     endpoint.name = entry.name;
     endpointsByName_[entry.name] = &endpoint;
@@ -195,24 +197,25 @@
 void Router::applyUpdates(const std::vector<Entry> &entries, bool isComplete) {
   if (merge_ != nullptr) renameEndpointsByAddress(entries);
   for (const auto &entry : entries) {
-    auto &known = getOrAddEndpoint(entry.name);
-    const auto &before = known.policyEndpoint->info;
+    auto &endpoint = getOrAddEndpoint(entry.name);
+    const auto &before = endpoint.policyEndpoint->info;
     const auto &after = entry.info;
     const bool isChanged = before.build != after.build || before.startedAt != after.startedAt ||
-                           before.state != after.state || known.address != entry.address;
-    if (!known.isReady || isChanged) {
-      ++known.version;
-      gossip_.onEndpointReplaced(known.policyEndpoint->fingerprint);
-      known.policyEndpoint->health.peerSuspicionUntil = 0;
+                           before.state != after.state || endpoint.address != entry.address;
+    if (!endpoint.isReady || isChanged) {
+      ++endpoint.version;
+      gossip_.onEndpointReplaced(endpoint.policyEndpoint->fingerprint);
+      endpoint.policyEndpoint->health.peerSuspicionUntil = 0;
     }
-    known.address = entry.address;
-    policy_.onEndpointUpdate(*known.policyEndpoint, after, now());
+    endpoint.address = entry.address;
+    policy_.onEndpointUpdate(*endpoint.policyEndpoint, after, now());
   }
   policy_.onEndpointUpdatesApplied(isComplete);
-  for (auto &known : endpoints_) {
-    if (known.isReady && !known.policyEndpoint->isReady) ++known.version; // missing from a complete list
-    known.isReady = known.policyEndpoint->isReady;
-    if (known.isReady) known.lastReadyAt = now();
+  for (auto &endpoint : endpoints_) {
+    if (endpoint.isReady && !endpoint.policyEndpoint->isReady)
+      ++endpoint.version; // missing from a complete list
+    endpoint.isReady = endpoint.policyEndpoint->isReady;
+    if (endpoint.isReady) endpoint.lastReadyAt = now();
   }
   runDueTasks();
 }
@@ -261,8 +264,8 @@
 }
 
 void Router::onWrongAnswerReport(const std::string &name, Nanoseconds timeSinceSent) {
-  if (auto *known = findEndpoint(name))
-    policy_.onWrongAnswerReport(*known->policyEndpoint, timeSinceSent, now());
+  if (auto *endpoint = findEndpoint(name))
+    policy_.onWrongAnswerReport(*endpoint->policyEndpoint, timeSinceSent, now());
 }
 
 sched::Task<PeerMessage> Router::nextPeerMessage() {
@@ -286,9 +289,9 @@
 
 void Router::applyGossip(const GossipMessage &message) {
   for (const auto &observed : message.observations)
-    for (auto &known : endpoints_)
-      if (known.policyEndpoint->fingerprint == observed.fingerprint)
-        known.policyEndpoint->health.peerSuspicionUntil = gossip_.suspectUntil(observed.fingerprint);
+    for (auto &endpoint : endpoints_)
+      if (endpoint.policyEndpoint->fingerprint == observed.fingerprint)
+        endpoint.policyEndpoint->health.peerSuspicionUntil = gossip_.suspectUntil(observed.fingerprint);
 }
 
 void Router::updateListFreshness() {
