--- a/lab/bench_fleet.h
+++ b/lab/bench_fleet.h
@@ -20,9 +20,9 @@
 
 // Starts eight nodes that work so, with their discovery and platform; returns their addresses: "discovery",
 // "platform", "known" (the node list) and "servers".
-nlohmann::json startFleet(ChildProcess &child, const Work &work);
+nlohmann::json startBenchFleet(ChildProcess &child, const ServiceModel &work);
 
 // Writes the configuration of an instance before that fleet into the folder; returns the file's path.
-std::string writeConfiguration(const nlohmann::json &fleet, const std::string &folder);
+std::string writeBenchConfig(const nlohmann::json &fleet, const std::string &folder);
 
 } // namespace myrtlehead::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -86,16 +86,16 @@
   s.name = "demo";
   s.servers = 8;
   s.work = {.cores = 16,
-            .mean = 10 * lab::kMillisecond,
-            .spread = 0.3,
-            .queue = 64,
+            .meanServiceTime = 10 * lab::kMillisecond,
+            .serviceTimeSigma = 0.3,
+            .maxQueueLength = 64,
             .warmupTime = 2 * lab::kSecond,
             .warmupStartFraction = 0.4};
-  s.load = {.perSecond = 300,
-            .lasts = 30 * lab::kSecond,
+  s.load = {.requestsPerSecond = 300,
+            .duration = 30 * lab::kSecond,
             .connections = 32,
-            .patience = 500 * lab::kMillisecond,
-            .writes = 0.1};
+            .clientTimeout = 500 * lab::kMillisecond,
+            .writeShare = 0.1};
   s.events = {{.at = 2 * lab::kSecond, .what = "offer"}, {.at = 17 * lab::kSecond, .what = "offer_bad"}};
   fmt::print("Eight servers, one marshal, 300 reqs a second. A good build is offered after 2 s, a bad one "
              "after 17 s.\n");
@@ -158,7 +158,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   CommandLine line;
   line.folder = scratchFolder();
-  line.program = lab::neighbour("myrtlehead");
+  line.program = lab::siblingProgram("myrtlehead");
   CLI::App app("The laboratory: emulated servers, their failures, load and reports.", "myrtlehead_lab");
   app.require_subcommand(1);
   app.add_option("--marshal", line.program, "The marshal's program")->capture_default_str();
--- a/lab/pipelines.cpp
+++ b/lab/pipelines.cpp
@@ -124,7 +124,7 @@
       : process(sched, budget, program, {"serve", "--config", configuration}, logFile) {
     auto start = [&]() -> sched::Task<> {
       const net::Deadline until{sched.now() + 10 * kSecond, nullptr};
-      const auto line = co_await process.line("marshal serves", until);
+      const auto line = co_await process.waitForLine("marshal serves", until);
       const auto at = line.find(" at=");
       if (at != std::string::npos) address = net::parseAddress(line.substr(at + 4));
       sched.halt();
@@ -145,9 +145,9 @@
   PipeliningClients clients(sched, budget, *marshal.address, depth, run);
   Figures out;
   auto body = [&]() -> sched::Task<> {
-    const auto before = marshal.process.costs().cpuSeconds;
+    const auto before = marshal.process.resourceUsage().cpuSeconds;
     out = co_await clients.measure();
-    out.cpuMicros = (marshal.process.costs().cpuSeconds - before) * 1e6 / out.asked;
+    out.cpuMicros = (marshal.process.resourceUsage().cpuSeconds - before) * 1e6 / out.asked;
     sched.halt();
   };
   sched.spawn(body());
@@ -182,9 +182,11 @@
 
 int measurePipelines(const PipelineMeasure &measure) {
   ChildProcess fleet;
-  const auto addresses = startFleet(
-      fleet, {.cores = 10'000, .mean = 20 * kMillisecond, .spread = kSpread, .queue = 10'000});
-  const auto configuration = writeConfiguration(addresses, measure.folder);
+  const auto addresses = startBenchFleet(fleet, {.cores = 10'000,
+                                                 .meanServiceTime = 20 * kMillisecond,
+                                                 .serviceTimeSigma = kSpread,
+                                                 .maxQueueLength = 10'000});
+  const auto configuration = writeBenchConfig(addresses, measure.folder);
   std::vector<std::pair<std::string, std::string>> programs{{"this", measure.program}};
   if (!measure.before.empty()) programs.insert(programs.begin(), {"before", measure.before});
   std::vector<std::unique_ptr<Router>> marshals;
--- a/lab/process.h
+++ b/lab/process.h
@@ -9,12 +9,12 @@
 
 namespace myrtlehead::lab {
 
-struct Costs {
+struct ResourceUsage {
   double cpuSeconds = 0;
   long residentKb = 0;
 };
 
-Costs costsOf(int pid);
+ResourceUsage resourceUsageOf(int pid);
 
 class Process {
 public:
@@ -26,12 +26,12 @@
   Process &operator=(const Process &) = delete;
 
   // The first line that holds the words, once it is written; "" if the process ends or `until` comes first.
-  net::Task<std::string> line(std::string words, net::Deadline until);
+  net::Task<std::string> waitForLine(std::string words, net::Deadline until);
   net::Task<int>
-  end(net::Deadline until); // SIGTERM, then its exit code; -1: it did not end in time, or was killed
+  terminate(net::Deadline until); // SIGTERM, then its exit code; -1: it did not end in time, or was killed
   void kill(int signal);
-  bool runs();
-  Costs costs() const { return costsOf(pid_); }
+  bool isRunning();
+  ResourceUsage resourceUsage() const { return resourceUsageOf(pid_); }
   int pid() const { return pid_; }
 
 private:
@@ -50,6 +50,6 @@
 };
 
 // Where the running program's neighbour of this name stands.
-std::string neighbour(const std::string &name);
+std::string siblingProgram(const std::string &name);
 
 } // namespace myrtlehead::lab
--- a/lab/proxy_overhead.cpp
+++ b/lab/proxy_overhead.cpp
@@ -42,7 +42,7 @@
   child.pid = fork();
   if (child.pid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    relay(listener, servers);
+    runRelay(listener, servers);
   }
   close(listener);
   return address;
@@ -80,18 +80,19 @@
   sched::Scheduler sched;
   net::DescriptorBudget budget(kMaxDescriptors);
   Measurement out;
-  const Load load{.perSecond = perSecond,
-                  .lasts = kLoadTime,
-                  .connections = std::clamp(static_cast<int>(perSecond / kRequestsPerConnection), 64, 1024),
-                  .patience = kSecond};
+  const LoadSettings load{
+      .requestsPerSecond = perSecond,
+      .duration = kLoadTime,
+      .connections = std::clamp(static_cast<int>(perSecond / kRequestsPerConnection), 64, 1024),
+      .clientTimeout = kSecond};
   LoadTool tool(
       sched, budget, [&proxy] { return proxy.address; }, load, seed,
       "f" + std::to_string(seed) + "x" + std::to_string(static_cast<int>(perSecond)) + "r");
   auto body = [&]() -> sched::Task<> {
-    const auto cpuBefore = costsOf(proxy.pid).cpuSeconds;
+    const auto cpuBefore = resourceUsageOf(proxy.pid).cpuSeconds;
     co_await tool.run();
     co_await tool.finish();
-    out.cpuMicroseconds = (costsOf(proxy.pid).cpuSeconds - cpuBefore) * 1e6 /
+    out.cpuMicroseconds = (resourceUsageOf(proxy.pid).cpuSeconds - cpuBefore) * 1e6 /
                           static_cast<double>(std::max<std::size_t>(tool.requests().size(), 1));
     sched.halt();
   };
@@ -142,7 +143,7 @@
   std::optional<net::Address> address;
   auto body = [&]() -> sched::Task<> {
     const net::Deadline deadline{sched.now() + kStartTimeout, nullptr};
-    const auto line = co_await instance.line("marshal serves", deadline);
+    const auto line = co_await instance.waitForLine("marshal serves", deadline);
     address = net::parseAddress(line.substr(line.find(" at=") + 4));
     sched.halt();
   };
@@ -157,11 +158,12 @@
 int measureProxyOverhead(const std::string &program, const std::string &folder, int runs) {
   ChildProcess fleet;
   ChildProcess relay;
-  const auto addresses = startFleet(fleet, {.cores = 10'000, .mean = 20 * kMillisecond, .queue = 10'000});
+  const auto addresses = startBenchFleet(
+      fleet, {.cores = 10'000, .meanServiceTime = 20 * kMillisecond, .maxQueueLength = 10'000});
   const auto relayAddress = startRelay(relay, addresses);
   sched::Scheduler sched;
   net::DescriptorBudget budget(kMaxDescriptors);
-  Process instance(sched, budget, program, {"serve", "--config", writeConfiguration(addresses, folder)},
+  Process instance(sched, budget, program, {"serve", "--config", writeBenchConfig(addresses, folder)},
                    folder + "/floor.log");
   const auto instanceAddress = waitForStart(sched, instance);
   const std::array<Proxy, 2> proxies{Proxy{"relay", relayAddress, relay.pid},
--- a/lab/relay.cpp
+++ b/lab/relay.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void relay(int listener, const std::vector<net::Address> &servers) {
+void runRelay(int listener, const std::vector<net::Address> &servers) {
   const int epoll = epoll_create1(0);
   epoll_event event{EPOLLIN, {.ptr = nullptr}};
   epoll_ctl(epoll, EPOLL_CTL_ADD, listener, &event);
--- a/lab/relay.h
+++ b/lab/relay.h
@@ -9,6 +9,6 @@
 namespace myrtlehead::lab {
 
 // Serves on the listening descriptor until it is killed.
-[[noreturn]] void relay(int listener, const std::vector<net::Address> &servers);
+[[noreturn]] void runRelay(int listener, const std::vector<net::Address> &servers);
 
 } // namespace myrtlehead::lab
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -56,7 +56,7 @@
 
 // Latencies over the run, and outcomes and latencies by second.
 void addLatencies(const RunResult &result, json &out) {
-  const auto seconds = static_cast<std::size_t>((result.scenario.load.lasts + kSecond - 1) / kSecond);
+  const auto seconds = static_cast<std::size_t>((result.scenario.load.duration + kSecond - 1) / kSecond);
   std::vector<std::vector<double>> latenciesBySecond(seconds);
   std::vector<OutcomeCounts> countsBySecond(seconds);
   std::vector<double> latencies;
@@ -104,8 +104,8 @@
   addTotals(result, out);
   for (const auto &event : result.scenario.events) out["events"].push_back(describe(event));
   if (result.dns != nullptr)
-    out["names"] = {{"queries", result.dns->queries}, {"over_tcp", result.dns->overTcp}};
-  out["builds"] = {{"newest", result.fleet.build()}, {"phase", result.fleet.phase()}};
+    out["names"] = {{"queries", result.dns->queries}, {"over_tcp", result.dns->tcpQueries}};
+  out["builds"] = {{"newest", result.fleet.newestBuild()}, {"phase", result.fleet.phase()}};
   addLatencies(result, out);
   out["rules"] = result.rules.rules();
   addDrains(result, out);
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -24,13 +24,13 @@
   std::string name = "unnamed";
   std::uint64_t seed = 1;
   int servers = 8, marshals = 1;
-  Work work;
+  ServiceModel work;
   bool listed = true, named = false;
   bool namesForget = false; // names drop what drains, rather than name it on
   int ttl = 2;              // seconds, of name records
   int release = 1;          // told for the names; -1: unknown
   double cap = 0.3, free = 2;
-  Load load;
+  LoadSettings load;
   std::vector<Event> events;
   std::string settings; // TOML that the instances' settings get besides
   std::string stateFolder;
--- a/lab/toy_fleet.cpp
+++ b/lab/toy_fleet.cpp
@@ -11,8 +11,8 @@
 
 using namespace myrtlehead;
 
-lab::Fleet::Beginning beginningOf(const bootstrap::BootstrapConfig &config) {
-  lab::Fleet::Beginning out{
+lab::Fleet::Settings readFleetSettings(const bootstrap::BootstrapConfig &config) {
+  lab::Fleet::Settings out{
       config.discoveryAddress, config.platformAddress, 1, {}, config.deployment.rollout.stageCaps};
   if (const auto *build = config.rolloutState.find("build")) out.build = static_cast<int>(build->real);
   const auto *endpoints = config.knownEndpoints.find("endpoints");
@@ -40,8 +40,9 @@
     sched::Scheduler sched;
     sched.onUncaughtException = [](const char *what) { std::cerr << "toy_fleet: " << what << '\n'; };
     net::DescriptorBudget budget(1000);
-    lab::Fleet fleet(sched, budget, beginningOf(config));
-    std::cout << "discovery at " << fleet.discovery() << ", platform at " << fleet.platform() << std::endl;
+    lab::Fleet fleet(sched, budget, readFleetSettings(config));
+    std::cout << "discovery at " << fleet.discoveryAddress() << ", platform at " << fleet.platformAddress()
+              << std::endl;
     sched.run();
   } catch (const std::exception &e) {
     std::cerr << "toy_fleet: " << e.what() << '\n';
