--- a/lab/proxy_overhead.cpp
+++ b/lab/proxy_overhead.cpp
@@ -143,7 +143,7 @@
   std::optional<net::Address> address;
   auto body = [&]() -> sched::Task<> {
     const net::Deadline deadline{sched.now() + kStartTimeout, nullptr};
-    const auto line = co_await instance.waitForLine("marshal serves", deadline);
+    const auto line = co_await instance.waitForLine("instance is serving requests", deadline);
     address = net::parseAddress(line.substr(line.find(" at=") + 4));
     sched.halt();
   };
