--- a/lab/bench_fleet.h
+++ b/lab/bench_fleet.h
@@ -1,4 +1,4 @@
-// Nodes, discovery and platform in a process of their own, for measures of one instance's costs.
+// Nodes, discovery and platform in a separate process, for measurements of one instance's costs.
 #pragma once
 
 #include "lab/node.h"
@@ -9,7 +9,7 @@
 
 namespace myrtlehead::lab {
 
-// A forked process that is killed with this object.
+// A forked process, which is killed when this object is destroyed.
 struct ChildProcess {
   pid_t pid = 0;
   ChildProcess() = default;
@@ -18,11 +18,11 @@
   ~ChildProcess();
 };
 
-// Starts eight nodes that work so, with their discovery and platform; returns their addresses: "discovery",
-// "platform", "known" (the node list) and "servers".
+// Starts eight nodes with this service model, and their discovery and platform. Returns "discovery" and
+// "platform" (addresses), "known" (the endpoint list) and "servers" (the nodes' addresses).
 nlohmann::json startBenchFleet(ChildProcess &child, const ServiceModel &work);
 
-// Writes the configuration of an instance before that fleet into the folder; returns the file's path.
+// Writes the configuration of an instance that uses that fleet into the folder. Returns the file's path.
 std::string writeBenchConfig(const nlohmann::json &fleet, const std::string &folder);
 
 } // namespace myrtlehead::lab
--- a/lab/instance_config.h
+++ b/lab/instance_config.h
@@ -1,4 +1,4 @@
-// Writes the configuration and the settings of a run's instances.
+// Writes the configuration and the settings files of a run's instances.
 #pragma once
 
 #include "lab/fleet.h"
@@ -8,7 +8,7 @@
 
 namespace myrtlehead::lab {
 
-// The name of the records that list the fleet's servers.
+// The name of the SRV records that list the fleet's nodes.
 constexpr const char *kServiceName = "_pg._tcp.maps.example";
 
 // The files of one instance of a run.
@@ -20,8 +20,8 @@
   std::string stateFolder;
 };
 
-// The configuration for the fleet as it is now. `dnsServer`: "ADDRESS:PORT"; "": the instance follows no
-// names. Makes the state folder where it does.
+// Writes the configuration for the current state of the fleet, and the settings. `dnsServer` is
+// "ADDRESS:PORT"; if it is empty, the instance uses no DNS discovery. Otherwise creates the state folder.
 void writeInstanceConfig(const InstanceFiles &files, std::size_t index, const Scenario &scenario,
                          const Fleet &fleet, const std::string &dnsServer);
 
--- a/lab/link.h
+++ b/lab/link.h
@@ -1,5 +1,4 @@
-// The way from one process to another, as a relay on loopback on which faults can be put while connections
-// are open.
+// A relay on loopback between two processes. Network faults can be injected while connections are open.
 #pragma once
 
 #include "base/net/socket.h"
@@ -11,20 +10,20 @@
 
 class Link {
 public:
-  // Listens on a port of loopback and relays each connection to `to`.
-  Link(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address to);
+  // Listens on a loopback port and relays each connection to `target`.
+  Link(net::Scheduler &sched, net::DescriptorBudget &budget, net::Address target);
   net::Address address() const { return net::localAddress(*listener_); }
 
-  net::Nanoseconds delay = 0;  // of each piece, in both directions
-  bool isStalled = false;      // accepts connections and bytes, and forwards none, in both directions
-  bool dropsRequests = false;  // what the connecting side sends vanishes; the rest is forwarded
-  bool dropsResponses = false; // the other way round
+  net::Nanoseconds delay = 0;  // added to each chunk, in both directions
+  bool isStalled = false;      // accepts connections and bytes but forwards nothing, in both directions
+  bool dropsRequests = false;  // discards the bytes from the connecting side
+  bool dropsResponses = false; // discards the bytes to the connecting side
 
-  void cut(); // resets every connection, and new ones until heal()
+  void cut(); // closes every connection, and closes new ones until heal()
   void heal() { isCut_ = false; }
-  // Resets whichever connection forwards the n-th byte of requests from now.
+  // Closes the connection that forwards the n-th request byte from now.
   void resetAfter(std::size_t requestBytes) { bytesToReset_ = requestBytes; }
-  // Connections that resetAfter() has reset.
+  // Number of connections that resetAfter() has closed.
   int resets() const { return resets_; }
 
 private:
@@ -35,18 +34,20 @@
   };
   net::Task<> accept();
   net::Task<> serve(std::shared_ptr<Relay> relay);
-  net::Task<> pump(std::shared_ptr<Relay> relay, Direction direction);
+  net::Task<> forward(std::shared_ptr<Relay> relay, Direction direction);
   net::Task<> waitWhileStalled();
   bool drops(Direction direction) const;
-  bool isResetDue(std::string &piece, Direction direction);
+  // Counts the chunk towards resetAfter(). If the reset is due within the chunk, cuts the chunk after the due
+  // byte and returns true.
+  bool countTowardsReset(std::string &chunk, Direction direction);
 
   net::Scheduler &sched_;
   net::DescriptorBudget &budget_;
-  net::Address to_;
+  net::Address target_;
   std::unique_ptr<net::Socket> listener_;
   std::list<std::weak_ptr<Relay>> relays_;
   bool isCut_ = false;
-  std::size_t bytesToReset_ = 0; // 0: none is due
+  std::size_t bytesToReset_ = 0; // 0: no reset is due
   int resets_ = 0;
 };
 
--- a/lab/relay.h
+++ b/lab/relay.h
@@ -1,5 +1,5 @@
-// A bare relay: bytes passed on, one connection to a server for each client. It decides nothing; it is the
-// floor that the instance's costs are held against.
+// A plain TCP relay that forwards bytes, with one server connection per client. It makes no decisions; its
+// costs are the baseline that the instance's costs are compared with.
 #pragma once
 
 #include "base/net/socket.h"
@@ -8,7 +8,8 @@
 
 namespace myrtlehead::lab {
 
-// Serves on the listening descriptor until it is killed.
+// Accepts connections on the listening descriptor until the process is killed. Each connection goes to the
+// next server in turn. Aborts the process if a server can't be reached.
 [[noreturn]] void runRelay(int listener, const std::vector<net::Address> &servers);
 
 } // namespace myrtlehead::lab
--- a/lab/toy_fleet.cpp
+++ b/lab/toy_fleet.cpp
@@ -1,5 +1,5 @@
-// toy_fleet CONFIGURATION: stands in for the nodes, discovery and platform that an instance's configuration
-// names.
+// toy_fleet CONFIGURATION: emulates the nodes, discovery and platform that an instance's configuration names,
+// at the addresses that the configuration gives.
 #include "app/bootstrap/bootstrap_config.h"
 #include "format/json/json.h"
 #include "lab/fleet.h"
@@ -23,7 +23,9 @@
       if (name != nullptr && at) out.nodes.emplace_back(name->text, *at);
     }
   if (out.nodes.empty() || out.stageCaps.empty())
-    throw bootstrap::ConfigError("the configuration names no nodes or no stages");
+    throw bootstrap::ConfigError(
+        "the configuration must name at least one endpoint (known.endpoints) and one stage "
+        "(settings.familyInfo.caps)");
   return out;
 }
 
