--- a/lab/toy_fleet.cpp
+++ b/lab/toy_fleet.cpp
@@ -1,5 +1,5 @@
-// toy_fleet CONFIGURATION: stands in for the nodes, discovery and platform that an instance's configuration
-// names.
+// toy_fleet CONFIGURATION: emulates the nodes, discovery and platform that an instance's configuration names,
+// at the addresses that the configuration gives.
 #include "app/bootstrap/bootstrap_config.h"
 #include "format/json/json.h"
 #include "lab/fleet.h"
@@ -11,8 +11,8 @@
 
 using namespace myrtlehead;
 
-lab::Fleet::Beginning beginningOf(const bootstrap::BootstrapConfig &config) {
-  lab::Fleet::Beginning out{
+lab::Fleet::Settings readFleetSettings(const bootstrap::BootstrapConfig &config) {
+  lab::Fleet::Settings out{
       config.discoveryAddress, config.platformAddress, 1, {}, config.deployment.rollout.stageCaps};
   if (const auto *build = config.rolloutState.find("build")) out.build = static_cast<int>(build->numberValue);
   const auto *endpoints = config.knownEndpoints.find("endpoints");
@@ -23,7 +23,9 @@
       if (name != nullptr && at) out.nodes.emplace_back(name->text, *at);
     }
   if (out.nodes.empty() || out.stageCaps.empty())
-    throw bootstrap::ConfigError("the configuration names no nodes or no stages");
+    throw bootstrap::ConfigError(
+        "the configuration must name at least one endpoint (known.endpoints) and one stage "
+        "(settings.familyInfo.caps)");
   return out;
 }
 
@@ -40,8 +42,9 @@
     sched::Scheduler sched;
     sched.onUncaughtException = [](const char *what) { std::cerr << "toy_fleet: " << what << '\n'; };
     net::DescriptorBudget budget(1000);
-    lab::Fleet fleet(sched, budget, beginningOf(config));
-    std::cout << "discovery at " << fleet.discovery() << ", platform at " << fleet.platform() << std::endl;
+    lab::Fleet fleet(sched, budget, readFleetSettings(config));
+    std::cout << "discovery at " << fleet.discoveryAddress() << ", platform at " << fleet.platformAddress()
+              << std::endl;
     sched.run();
   } catch (const std::exception &e) {
     std::cerr << "toy_fleet: " << e.what() << '\n';
