--- a/lab/report.h
+++ b/lab/report.h
@@ -1,4 +1,4 @@
-// The report of a run, as JSON: totals, latencies, rules, seconds.
+// Builds the JSON report of a run (totals, latencies, rules, figures per second) and formats it as text.
 #pragma once
 
 #include "lab/dns_server.h"
@@ -14,25 +14,26 @@
 
 namespace myrtlehead::lab {
 
-// What a run has left behind.
+// The data from which a report is built. All references must stay valid until makeReport() returns.
 struct RunResult {
   const Scenario &scenario;
   const Fleet &fleet;
-  const DnsServer *dns; // nullptr: the run had none
+  const DnsServer *dns; // nullptr if the run has no DNS server
   const std::vector<std::unique_ptr<LoadTool>> &loads;
   const RuleChecker &rules;
-  Nanoseconds startedAt = 0; // the load
-  double cpuSeconds = 0;     // of all instances, under load
-  long residentKb = 0;       // of the largest instance
+  Nanoseconds startedAt = 0; // when the load starts
+  double cpuSeconds = 0;     // CPU time of all instances under load
+  long residentKb = 0;       // resident memory of the largest instance
 };
 nlohmann::json makeReport(const RunResult &result);
 
+// Returns true if no rule in the report has a value above 0.
 bool areRulesKept(const nlohmann::json &report);
-// A few lines of text.
-std::string summary(const nlohmann::json &report);
-// Two reports side by side, a figure a line.
-std::string compare(const nlohmann::json &a, const nlohmann::json &b);
-// Draws the seconds by gnuplot. Throws std::runtime_error where that fails.
-void plot(const nlohmann::json &report, const std::string &png);
+// Formats the main figures, events and rules of a report as a few lines of text.
+std::string summarize(const nlohmann::json &report);
+// Formats two reports side by side, one figure per line.
+std::string formatComparison(const nlohmann::json &a, const nlohmann::json &b);
+// Plots the figures per second to the file `png` with gnuplot. Throws std::runtime_error if gnuplot fails.
+void plotSeconds(const nlohmann::json &report, const std::string &png);
 
 } // namespace myrtlehead::lab
