--- a/tests/cluster_fixture.h
+++ b/tests/cluster_fixture.h
@@ -165,7 +165,7 @@
     auto &process = processes_[static_cast<std::size_t>(member)];
     process = std::make_unique<lab::Process>(sched, budget, MYRTLEHEAD_PROGRAM, arguments, base + ".log");
     const auto line = co_await process->waitForLine("instance is serving requests",
-                                             {sched.now() + 10 * kSecond, nullptr});
+                                                    {sched.now() + 10 * kSecond, nullptr});
     REQUIRE(!line.empty());
   }
   std::string configuration(int member) const {
